--- a/crates/graphql/src/answer.rs
+++ b/crates/graphql/src/answer.rs
@@ -1,4 +1,5 @@
-//! Validates the responses of servers, and makes those of the node: errors, results of batch entries, whole batches.
+//! Validates the responses of servers, and builds those of the node: errors, results of batch entries, and whole
+//! batches.
 //!
 //! Source: GraphQL, October 2021, section 7.
 
@@ -15,18 +16,18 @@
 /// Why the body of a server's response is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidResponse {
-    /// It is no JSON, or incomplete.
-    #[error("the answer is no JSON")]
+    /// The body is incomplete or not valid JSON.
+    #[error("the response is not valid JSON")]
     NotJson,
-    /// It is JSON, but no GraphQL response.
-    #[error("the answer has neither data nor errors")]
+    /// The body is JSON, but not a GraphQL response.
+    #[error("the response has neither data nor errors")]
     NotGraphQl,
-    /// It has data of other fields, so it belongs to another operation.
-    #[error("the answer is to another operation")]
+    /// The body has data of fields that the operation does not select, so it belongs to another operation.
+    #[error("the response belongs to another operation")]
     OtherOperation,
 }
 
-/// The keys of a response that are validated.
+/// The parts of a response that are validated.
 #[derive(Deserialize)]
 struct ResponseShape {
     #[serde(default)]
@@ -35,7 +36,7 @@
     errors: Option<Vec<IgnoredAny>>,
 }
 
-/// The keys of an object, whose values are ignored.
+/// The keys of an object. Its values are skipped.
 struct Keys(Vec<String>);
 
 impl<'de> Deserialize<'de> for Keys {
@@ -60,11 +61,11 @@
     }
 }
 
-/// Validates that the body of a server's response is complete and belongs to an operation, and not to one of another
-/// client.
+/// Validates that the body of a server's response is complete, and that it belongs to this operation and not to one of
+/// another client.
 ///
 /// # Errors
-/// Why it is invalid. In any case the operation may have run.
+/// If the body is invalid. The operation may have run all the same.
 pub fn check(body: &[u8], operation: &Operation) -> Result<(), InvalidResponse> {
     let raw: &RawValue = serde_json::from_slice(body).map_err(|_| InvalidResponse::NotJson)?;
     if !raw.get().starts_with('{') {
@@ -87,23 +88,22 @@
     operation.roots.iter().any(|root| root.key == key)
 }
 
-/// The body of the response to an invalid request.
-pub fn error_response(fault: &GraphQlError) -> Value {
-    let mut error =
-        json!({ "message": fault.message, "extensions": { "code": fault.kind.code() } });
-    if let (Some(location), Some(error)) = (fault.location, error.as_object_mut()) {
-        error.insert(
+/// The body of the response to a request that is rejected with an error.
+pub fn error_response(error: &GraphQlError) -> Value {
+    let mut item = json!({ "message": error.message, "extensions": { "code": error.kind.code() } });
+    if let (Some(location), Some(item)) = (error.location, item.as_object_mut()) {
+        item.insert(
             "locations".to_owned(),
             json!([{ "line": location.line, "column": location.column }]),
         );
     }
-    json!({ "errors": [error] })
+    json!({ "errors": [item] })
 }
 
-/// The response to an entry without one of a server; `None` if a server responded. Only an entry that never ran is
-/// `retryable`.
-pub fn entry_response<A>(fate: &EntryResult<A>) -> Option<Value> {
-    let (message, extensions) = match fate {
+/// The response to an entry to which no server responded; `None` if a server did. Only an entry that never ran is
+/// marked as `retryable`.
+pub fn entry_response<A>(result: &EntryResult<A>) -> Option<Value> {
+    let (message, extensions) = match result {
         EntryResult::Answered(_) => return None,
         EntryResult::Rejected(retry_after) => {
             let mut extensions = json!({ "code": "REFUSED", "retryable": true });
@@ -124,19 +124,19 @@
     Some(json!({ "data": null, "errors": [{ "message": message, "extensions": extensions }] }))
 }
 
-/// The response to a batch, in the order of the entries. Responses of servers are JSON texts; each is dropped once it is
-/// copied, to bound memory.
-pub fn merge<A: AsRef<[u8]>>(fates: Vec<EntryResult<A>>) -> Vec<u8> {
+/// The body of the response to a batch: a JSON array of the entries' responses, in order. The responses of servers are
+/// copied as JSON text and dropped one by one, to bound memory.
+pub fn merge<A: AsRef<[u8]>>(results: Vec<EntryResult<A>>) -> Vec<u8> {
     let mut merged = b"[".to_vec();
-    for (index, fate) in fates.into_iter().enumerate() {
+    for (index, result) in results.into_iter().enumerate() {
         if index > 0 {
             merged.push(b',');
         }
-        match (&fate, entry_response(&fate)) {
+        match (&result, entry_response(&result)) {
             (EntryResult::Answered(text), _) => {
                 merged.extend_from_slice(text.as_ref().trim_ascii());
             }
-            (_, Some(made)) => merged.extend_from_slice(made.to_string().as_bytes()),
+            (_, Some(response)) => merged.extend_from_slice(response.to_string().as_bytes()),
             (_, None) => merged.extend_from_slice(b"null"),
         }
     }
--- a/crates/graphql/src/batch.rs
+++ b/crates/graphql/src/batch.rs
@@ -2,15 +2,15 @@
 //!
 //! | state | next state |
 //! | --- | --- |
-//! | waiting | running, when there is a slot; never ran, if the batch ends before |
+//! | waiting | running, when fewer entries run than the limit allows; never ran, if the batch ends before that |
 //! | running | done |
-//! | done | |
+//! | done | none |
 //!
-//! Reads run concurrently up to a limit. Writes run one at a time, in the order of the client; one that may have run
-//! without a response does not stop the next, since entries are independent requests. Nothing starts after the end of
-//! the batch, which is at its deadline or when its client disconnects.
+//! Reads run concurrently up to a limit. Writes run one at a time, in the order of the request. A write that fails and
+//! may have run does not stop the next one, since entries are independent requests. No entry starts after the end of
+//! the batch, which is its deadline or the disconnection of its client.
 
-/// The index of an entry in its batch.
+/// The position of an entry in its batch, from 0.
 pub type EntryIndex = usize;
 
 /// The result of an entry.
@@ -18,11 +18,11 @@
 pub enum EntryResult<A> {
     /// A server responded.
     Answered(A),
-    /// It was rejected and certainly did not run. It may be retried after this time, in seconds.
+    /// The entry was rejected and certainly did not run. If a time in seconds is given, it may be retried after that.
     Rejected(Option<f64>),
-    /// It failed, and may have run.
+    /// The entry failed, and may have run.
     Failed,
-    /// It never ran, and never will.
+    /// The entry never ran, and never will.
     NeverRan,
 }
 
@@ -54,7 +54,8 @@
 }
 
 impl<A> Batch<A> {
-    /// A batch with an entry for each item of `writes`, which says whether it is a write. At least one read runs at a time.
+    /// Creates a batch with an entry for each item of `writes`, which is `true` for a write. A limit of 0 reads counts
+    /// as 1.
     pub fn new(writes: impl IntoIterator<Item = bool>, max_parallel_reads: usize) -> Self {
         let waiting = |is_write| EntryState {
             is_write,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Starts the entries that may run now, and returns them in their order.
+    /// Marks the entries that may run now as running, and returns them in order.
     pub fn start_ready(&mut self) -> Vec<EntryIndex> {
         if self.has_ended {
             return Vec::new();
@@ -98,17 +99,17 @@
             .count()
     }
 
-    /// Sets the result of an entry that is running; for any other entry, it does nothing.
-    pub fn finish(&mut self, entry: EntryIndex, fate: EntryResult<A>) {
+    /// Sets the result of a running entry. Does nothing if the entry is not running.
+    pub fn finish(&mut self, entry: EntryIndex, result: EntryResult<A>) {
         let Some(entry) = self.entries.get_mut(entry) else {
             return;
         };
         if entry.is_running() {
-            entry.state = State::Done(fate);
+            entry.state = State::Done(result);
         }
     }
 
-    /// Ends the batch: nothing starts any more.
+    /// Ends the batch: no entry starts any more.
     pub fn end(&mut self) {
         self.has_ended = true;
     }
@@ -120,20 +121,21 @@
             .all(|entry| matches!(entry.state, State::Done(_)))
     }
 
-    /// The results in the order of the entries. One that is still running may have run; one that waits never will.
+    /// The results in the order of the entries. An entry that is still running counts as failed, and a waiting one as
+    /// never run.
     pub fn into_results(self) -> Vec<EntryResult<A>> {
-        let fate = |entry: EntryState<A>| match entry.state {
-            State::Done(fate) => fate,
+        let result = |entry: EntryState<A>| match entry.state {
+            State::Done(result) => result,
             State::Running => EntryResult::Failed,
             State::Waiting => EntryResult::NeverRan,
         };
-        self.entries.into_iter().map(fate).collect()
+        self.entries.into_iter().map(result).collect()
     }
 }
 
-/// Whether the response to a batch may be a rejection as a whole: only if no entry has run.
-pub fn can_be_rejected<A>(fates: &[EntryResult<A>]) -> bool {
-    fates
+/// Whether the batch may be rejected as a whole, which requires that no entry has run.
+pub fn can_be_rejected<A>(results: &[EntryResult<A>]) -> bool {
+    results
         .iter()
-        .all(|fate| matches!(fate, EntryResult::Rejected(_) | EntryResult::NeverRan))
+        .all(|result| matches!(result, EntryResult::Rejected(_) | EntryResult::NeverRan))
 }
--- a/crates/graphql/src/class.rs
+++ b/crates/graphql/src/class.rs
@@ -1,4 +1,4 @@
-//! The class of an operation: the strictest one of its root fields.
+//! The class of an operation: the strictest class of its root fields.
 
 use crate::document::{Operation, OperationKind};
 use std::collections::HashMap;
@@ -7,12 +7,12 @@
 /// The id of a class: its index among those of the service.
 pub type ClassId = u16;
 
-/// The properties of a class that its choice depends on.
+/// The properties by which classes are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassInfo {
-    /// Whether its requests may be retried.
+    /// Whether requests of the class may be retried.
     pub is_idempotent: bool,
-    /// The time after which a request fails, in seconds.
+    /// The time after which a request of the class fails, in seconds.
     pub deadline: f64,
 }
 
@@ -25,21 +25,21 @@
     /// The default class of mutations allows retries.
     #[error("the class of mutations that are not mapped is safe to repeat")]
     SafeDefault,
-    /// There is no class with this id.
+    /// The service has no class with this id.
     #[error("there is no class {0}")]
     NoClass(ClassId),
 }
 
-/// The classes of root fields.
+/// The configured classes of root fields.
 #[derive(Clone, Debug, Default)]
 pub struct Mapping {
-    /// Fields of the query root.
+    /// The classes of query fields, by field name.
     pub query: HashMap<String, ClassId>,
-    /// Fields of the mutation root.
+    /// The classes of mutation fields, by field name.
     pub mutation: HashMap<String, ClassId>,
-    /// All other fields of the query root.
+    /// The class of query fields that are not mapped.
     pub other_query: ClassId,
-    /// All other fields of the mutation root.
+    /// The class of mutation fields that are not mapped.
     pub other_mutation: ClassId,
 }
 
@@ -51,10 +51,10 @@
 }
 
 impl Classes {
-    /// Validates a mapping; `infos` are the classes by id.
+    /// Validates a mapping. `infos` has the properties of each class, indexed by its id.
     ///
     /// # Errors
-    /// If a class does not exist, or that of a mutation allows retries.
+    /// If a class does not exist, or the class of a mutation allows retries.
     pub fn new(mapping: Mapping, infos: Vec<ClassInfo>) -> Result<Classes, MappingError> {
         let info = |class: ClassId| {
             infos
@@ -76,13 +76,13 @@
         Ok(Classes { mapping, infos })
     }
 
-    /// The class of an operation. If it has no root fields, it is the class of fields that are not mapped.
+    /// The class of an operation. Without root fields, it is the class of fields that are not mapped.
     pub fn class_of(&self, operation: &Operation) -> ClassId {
         let (fields, other) = match operation.kind {
             OperationKind::Query => (&self.mapping.query, self.mapping.other_query),
             OperationKind::Mutation => (&self.mapping.mutation, self.mapping.other_mutation),
         };
-        // Introspection is no reason for a stricter class.
+        // Introspection fields of a query do not make its class stricter.
         let is_introspection = |field: &str| matches!(field, "__typename" | "__schema" | "__type");
         operation
             .roots
@@ -95,7 +95,7 @@
             .unwrap_or(other)
     }
 
-    /// The stricter of two classes: one without retries before one with, then the one with the shorter deadline.
+    /// The stricter of two classes: the one that does not allow retries, or else the one with the shorter deadline.
     fn stricter(&self, first: ClassId, second: ClassId) -> ClassId {
         let rank = |class: ClassId| {
             let info = self.infos.get(usize::from(class))?;
--- a/crates/graphql/src/decode.rs
+++ b/crates/graphql/src/decode.rs
@@ -1,8 +1,8 @@
 //! Decodes the parameters of a request from the body of a POST or the query of a GET.
 //!
-//! What node and server could decode differently is rejected: duplicate keys, keys in another case (some servers accept
-//! `Query` for `query`), keys that the specification does not have, a byte order mark, an empty `operationName` (which
-//! some servers ignore). Clients have to put keys of their own into `extensions`.
+//! Requests that the node and a server could decode differently are rejected: duplicate keys, keys in another case
+//! (some servers accept `Query` for `query`), keys that the specification does not define, a byte order mark, and an
+//! empty `operationName` (which some servers ignore). Clients have to put keys of their own into `extensions`.
 //!
 //! Source: GraphQL over HTTP, "Request" and "Request Parameters".
 
@@ -15,21 +15,21 @@
 /// The parameters of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Params {
-    /// The document.
+    /// The text of the document; `None` if the request has only the hash of a persisted one.
     pub query: Option<String>,
     /// The name of the operation to execute.
     pub operation_name: Option<String>,
-    /// The values of its variables.
+    /// The values of the operation's variables.
     pub variables: Map<String, Value>,
-    /// Extensions of the protocol.
+    /// Protocol extensions, such as the hash of a persisted document.
     pub extensions: Map<String, Value>,
 }
 
 impl Params {
-    /// The hash of a persisted query, if the request has one (`extensions.persistedQuery`, version 1).
+    /// The hash of a persisted document, if the request has one (`extensions.persistedQuery`, version 1).
     ///
     /// # Errors
-    /// If it is invalid.
+    /// If the extension is invalid or has another version.
     pub fn persisted_hash(&self) -> Result<Option<[u8; 32]>, GraphQlError> {
         let Some(persisted) = self.extensions.get("persistedQuery") else {
             return Ok(None);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Decodes a SHA-256 in hexadecimal digits.
+/// Decodes a SHA-256 hash of 64 hexadecimal digits.
 fn decode_hash(text: &str) -> Option<[u8; 32]> {
     let digit = |byte: u8| char::from(byte).to_digit(16).map(|digit| digit as u8);
     let bytes = text.as_bytes();
@@ -64,7 +64,7 @@
     Some(hash)
 }
 
-/// The content of a POST.
+/// The decoded body of a POST.
 #[derive(Clone, Debug)]
 pub enum DecodedRequest<'a> {
     /// One request.
@@ -76,7 +76,7 @@
 /// Decodes the body of a POST.
 ///
 /// # Errors
-/// If it is no valid request, or a batch over its limit.
+/// If the body is not a valid request, or is a batch that exceeds the limit.
 pub fn parse_body<'a>(body: &'a [u8], limits: &Limits) -> Result<DecodedRequest<'a>, GraphQlError> {
     let text =
         std::str::from_utf8(body).map_err(|_| bad_request("the body is not text in UTF-8"))?;
@@ -110,10 +110,10 @@
         .map(DecodedRequest::Batch)
 }
 
-/// Decodes the query of a GET.
+/// Decodes the query string of a GET.
 ///
 /// # Errors
-/// If it is no valid request.
+/// If the query is not a valid request.
 pub fn parse_query(query: &str) -> Result<Params, GraphQlError> {
     let mut object = Map::new();
     for (name, value) in form_urlencoded::parse(query.as_bytes()) {
@@ -124,7 +124,7 @@
             "query" | "operationName" => Value::String(value.into_owned()),
             "variables" | "extensions" if value.is_empty() => Value::Null,
             "variables" | "extensions" => parse_json(&value)?,
-            // Other parameters of the URL are ignored, unless a server could take them for one of these.
+            // Other parameters of the URL are ignored, unless a server could mistake them for one of these.
             other => {
                 check_case(other)?;
                 continue;
@@ -137,10 +137,10 @@
     from_object(object)
 }
 
-/// The keys of a request.
+/// The keys that the specification defines for a request.
 const KEYS: [&str; 4] = ["query", "operationName", "variables", "extensions"];
 
-/// Rejects a name that differs from a key only by its case.
+/// Rejects a name that differs from a key only in case.
 fn check_case(name: &str) -> Result<(), GraphQlError> {
     let similar = KEYS
         .iter()
@@ -159,10 +159,10 @@
     bad_request(format!("the body is no JSON: {error}"))
 }
 
-/// Decodes the JSON object of a request.
+/// Decodes the JSON object of one request.
 ///
 /// # Errors
-/// If it is no valid request.
+/// If the text is not a valid request.
 pub fn parse_params(text: &str) -> Result<Params, GraphQlError> {
     match parse_json(text)? {
         Value::Object(object) => {
--- a/crates/graphql/src/decode/strict_json.rs
+++ b/crates/graphql/src/decode/strict_json.rs
@@ -1,4 +1,4 @@
-//! Parses JSON and rejects objects with duplicate keys, of which different parsers use different ones.
+//! Parses JSON and rejects objects with duplicate keys, since parsers differ in which of the duplicates they use.
 
 use serde::de::{DeserializeSeed, Deserializer, Error as _, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
@@ -10,7 +10,7 @@
 /// Parses a JSON text.
 ///
 /// # Errors
-/// If it is no JSON, nests too deep, or has an object with duplicate keys.
+/// If the text is not valid JSON, is nested more deeply than [`MAX_DEPTH`], or has an object with duplicate keys.
 pub(super) fn parse(text: &str) -> Result<Value, serde_json::Error> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let seed = StrictValue {
@@ -21,13 +21,13 @@
     Ok(value)
 }
 
-/// Deserializes a value with limited nesting.
+/// Deserializes a value that is nested no more deeply than `remaining_depth`.
 struct StrictValue {
     remaining_depth: usize,
 }
 
 impl StrictValue {
-    /// Deserializes the values of an array or object.
+    /// The seed for the items of an array or object, one level deeper.
     fn nested<E: serde::de::Error>(&self) -> Result<StrictValue, E> {
         match self.remaining_depth.checked_sub(1) {
             Some(remaining_depth) => Ok(StrictValue { remaining_depth }),
--- a/crates/graphql/src/document.rs
+++ b/crates/graphql/src/document.rs
@@ -1,11 +1,11 @@
-//! Finds the operation of a request, with its root fields and its cost, in the text of a document.
+//! Finds the operation that a request executes, with its root fields and cost, in the text of a document.
 //!
 //! | module | content |
 //! | --- | --- |
 //! | [`parse`] | parses the text with `apollo-parser`, and converts its tree |
-//! | [`tree`] | the converted tree: what is needed of operations and fragments |
+//! | [`tree`] | the converted tree: the needed parts of operations and fragments |
 //! | [`cycles`] | rejects fragments that include themselves |
-//! | [`collect`] | cost and root fields of an operation |
+//! | [`collect`] | computes the cost and the root fields of an operation |
 //!
 //! Source: GraphQL, October 2021: 2.2 to 2.8 (documents), 5.2 and 5.5 (operations, fragments), 6.1 (choice of the
 //! operation), 6.3.2 (collecting fields).
@@ -24,38 +24,38 @@
 /// The type of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
-    /// It reads.
+    /// An operation that only reads.
     Query,
-    /// It writes.
+    /// An operation that may write.
     Mutation,
 }
 
 /// A root field of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RootField {
-    /// The name in the schema.
+    /// The name of the field in the schema.
     pub field: String,
-    /// The key in the response: the alias, if there is one.
+    /// The key in the response: the alias, or the field name if there is none.
     pub key: String,
 }
 
 /// The operation that a request executes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// The type.
+    /// Whether the operation is a query or a mutation.
     pub kind: OperationKind,
-    /// The name, if it has one.
+    /// The name of the operation, if it has one.
     pub name: Option<String>,
-    /// The root fields in their order, without those that are certainly skipped.
+    /// The root fields in order, without those that are certainly skipped.
     pub roots: Vec<RootField>,
-    /// The number of fields at all depths; fragments count as often as they are used.
+    /// The number of fields at all depths; those of a fragment count as often as it is used.
     pub cost: usize,
 }
 
-/// Parses a document and finds the operation that a request with this operation name executes.
+/// Parses a document and finds the operation that a request with this operation name and these variables executes.
 ///
 /// # Errors
-/// If the document can't be parsed, is invalid as far as that can be known without a schema, or exceeds a limit.
+/// If the document can't be parsed, exceeds a limit, or is invalid as far as that is known without a schema.
 pub fn parse_operation(
     text: &str,
     name: Option<&str>,
@@ -69,7 +69,7 @@
     let document = parse::document(text, limits)?;
     let chosen = choose(text, &document.operations, name)?;
     let Some(kind) = chosen.kind else {
-        return Err(fault_at(
+        return Err(error_at(
             GraphQlErrorKind::Subscription,
             "subscriptions are not served here",
             location(text, chosen.offset),
@@ -91,9 +91,9 @@
     })
 }
 
-/// Rejects characters that end a line, a text or a token for some parsers and not for others: a carriage return without
-/// line feed, control characters, a byte order mark. Otherwise an operation could hide in what one parser takes for a
-/// comment.
+/// Rejects characters that end a line, a string or a token for some parsers but not for others: a carriage return
+/// without a line feed, control characters, and a byte order mark. Otherwise a server could find an operation in text
+/// that this parser reads as a comment.
 fn check_characters(text: &str) -> Result<(), GraphQlError> {
     let mut characters = text.chars().peekable();
     while let Some(character) = characters.next() {
@@ -115,7 +115,8 @@
     Ok(())
 }
 
-/// The operation that is executed (6.1). In an invalid document none is chosen, since servers could choose differently.
+/// The operation that is executed (6.1). An invalid document is rejected, since servers could choose different
+/// operations.
 fn choose<'a>(
     text: &str,
     operations: &'a [OperationDefinition],
@@ -136,7 +137,7 @@
     }
 }
 
-/// Requires unique names, and a name for each of several operations.
+/// Requires operation names to be unique, and each operation to have a name if there are several.
 fn check_names(text: &str, operations: &[OperationDefinition]) -> Result<(), GraphQlError> {
     let mut names = HashSet::new();
     for operation in operations {
@@ -146,12 +147,12 @@
             _ => continue,
         };
         let location = location(text, operation.offset);
-        return Err(fault_at(GraphQlErrorKind::Validation, message, location));
+        return Err(error_at(GraphQlErrorKind::Validation, message, location));
     }
     Ok(())
 }
 
-fn fault_at(
+fn error_at(
     kind: GraphQlErrorKind,
     message: impl Into<String>,
     location: Location,
@@ -163,7 +164,7 @@
     }
 }
 
-/// The line and column of a byte offset, from 1.
+/// The line and column of a byte offset.
 fn location(text: &str, offset: usize) -> Location {
     let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
--- a/crates/graphql/src/document/collect.rs
+++ b/crates/graphql/src/document/collect.rs
@@ -1,12 +1,12 @@
 //! The cost and the root fields of an operation.
 
 use super::tree::{Condition, Conditions, Fragments, Selection};
-use super::{fault_at, location, RootField};
+use super::{error_at, location, RootField};
 use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use serde_json::{Map, Value};
 use std::collections::{HashMap, HashSet};
 
-/// Counts the fields and aliases of an operation up to their limits; fragments count as often as they are used.
+/// Counts the fields and aliases of an operation up to their limits; those of a fragment count as often as it is used.
 pub(super) struct CostCounter<'a> {
     text: &'a str,
     fragments: &'a Fragments,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> CostCounter<'a> {
-    /// Nothing is counted yet.
+    /// A counter that starts from zero.
     pub(super) fn new(text: &'a str, fragments: &'a Fragments, limits: &'a Limits) -> Self {
         CostCounter {
             text,
@@ -44,7 +44,8 @@
                 }
                 Selection::InlineFragment { selections, .. } => self.count(selections)?,
                 Selection::FragmentSpread { name, offset, .. } => {
-                    // Otherwise nested fragments without fields could take exponential time.
+                    // A spread counts as a field: otherwise nested fragments without fields could take exponential
+                    // time.
                     self.count_field(false)?;
                     self.count(self.fragment(name, *offset)?)?;
                 }
@@ -73,7 +74,7 @@
 
     fn fragment(&self, name: &str, offset: usize) -> Result<&'a [Selection], GraphQlError> {
         let selections = self.fragments.get(name).ok_or_else(|| {
-            fault_at(
+            error_at(
                 GraphQlErrorKind::Validation,
                 format!("there is no fragment `{name}`"),
                 location(self.text, offset),
@@ -85,8 +86,8 @@
 
 /// Collects root fields (6.3.2).
 ///
-/// Type conditions are ignored: without a schema it is unknown which of them hold, and a field too many can only make an
-/// operation count as less safe than it is.
+/// Type conditions are ignored: without a schema it is unknown which of them hold, and an additional field can only
+/// make the class of an operation stricter.
 pub(super) struct Collector<'a> {
     pub(super) fragments: &'a Fragments,
     /// The variables of the request.
@@ -97,7 +98,7 @@
 }
 
 impl<'a> Collector<'a> {
-    /// The root fields of an operation with these selections, in their order and without duplicates.
+    /// The root fields of an operation with these selections, in order and without duplicates.
     pub(super) fn root_fields(
         &self,
         selections: &'a [Selection],
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// Whether a selection is certainly skipped. If that is unknown it is kept, which is the safe side.
+    /// Whether a selection is certainly skipped. If this is unknown, the selection is kept, which is the safe choice.
     fn is_skipped(&self, conditions: &Conditions) -> bool {
         let is_certainly = |condition, expected| self.value(condition) == Some(expected);
         conditions.skip.iter().any(|skip| is_certainly(skip, true))
--- a/crates/graphql/src/document/cycles.rs
+++ b/crates/graphql/src/document/cycles.rs
@@ -1,12 +1,12 @@
-//! Rejects fragments that include themselves, directly or through others (5.5.2.2), on which counting and collecting
-//! fields would not terminate.
+//! Rejects fragments that include themselves, directly or through other fragments (5.5.2.2). Counting and collecting
+//! fields would not terminate for these.
 
 use super::tree::{Fragments, Selection};
-use super::{fault_at, location};
+use super::{error_at, location};
 use crate::{GraphQlError, GraphQlErrorKind};
 use std::collections::HashSet;
 
-/// Checks all fragments of a document.
+/// Checks all fragments of a document for cycles.
 pub(super) fn check(text: &str, fragments: &Fragments) -> Result<(), GraphQlError> {
     let mut search = CycleSearch {
         text,
@@ -20,19 +20,19 @@
     Ok(())
 }
 
-/// A depth-first search.
+/// A depth-first search for cycles.
 struct CycleSearch<'a> {
     text: &'a str,
     fragments: &'a Fragments,
     /// The names of the fragments that lead to the current one.
     path: Vec<&'a str>,
-    /// The names of fragments that lead to no cycle.
+    /// The names of fragments that are known to be in no cycle.
     visited: HashSet<&'a str>,
 }
 
 impl<'a> CycleSearch<'a> {
-    /// Visits a fragment and all that it includes. The recursion is no deeper than there are fragments, which are
-    /// limited.
+    /// Visits a fragment and all fragments that it includes. The recursion depth is bounded by the number of fragments,
+    /// which is limited.
     fn visit(&mut self, name: &'a str, selections: &'a [Selection]) -> Result<(), GraphQlError> {
         if self.visited.contains(name) {
             return Ok(());
@@ -55,13 +55,13 @@
 
     fn follow(&mut self, name: &'a str, offset: usize) -> Result<(), GraphQlError> {
         if self.path.contains(&name) {
-            return Err(fault_at(
+            return Err(error_at(
                 GraphQlErrorKind::Validation,
                 format!("fragment `{name}` leads back to itself"),
                 location(self.text, offset),
             ));
         }
-        // Cost and root fields report unknown fragments.
+        // Unknown fragments are reported when the cost is counted.
         match self.fragments.get(name) {
             Some(selections) => self.visit(name, selections),
             None => Ok(()),
--- a/crates/graphql/src/document/parse.rs
+++ b/crates/graphql/src/document/parse.rs
@@ -2,7 +2,7 @@
 //! [`super::tree`]. No other module depends on that library.
 
 use super::tree::{Condition, Conditions, Document, Fragments, OperationDefinition, Selection};
-use super::{fault_at, location, OperationKind};
+use super::{error_at, location, OperationKind};
 use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use apollo_parser::cst::{self, CstNode};
 use apollo_parser::{Parser, SyntaxTree};
@@ -10,7 +10,7 @@
 
 /// Parses a document.
 pub(super) fn document(text: &str, limits: &Limits) -> Result<Document, GraphQlError> {
-    // The limits bound time and stack: 100,000 nested braces end at the first one beyond the limit.
+    // The limits bound time and stack: parsing 100,000 nested braces ends at the first one that exceeds the limit.
     let parser = Parser::new(text)
         .recursion_limit(limits.depth)
         .token_limit(limits.tokens);
@@ -34,7 +34,7 @@
                 }
             }
             _ => {
-                return Err(converter.fault(
+                return Err(converter.error(
                     GraphQlErrorKind::Validation,
                     "a document that is run holds operations and fragments only",
                     &definition,
@@ -45,7 +45,7 @@
     Ok(document)
 }
 
-/// Reports a limit that the parser reached, or else its first syntax error.
+/// Returns an error for a limit that the parser reached, or else for its first syntax error.
 fn check_errors(text: &str, limits: &Limits, tree: &SyntaxTree) -> Result<(), GraphQlError> {
     if tree.errors().any(apollo_parser::Error::is_limit) {
         let is_over_tokens = tree.token_limit().high > limits.tokens;
@@ -56,7 +56,7 @@
         });
     }
     match tree.errors().next() {
-        Some(error) => Err(fault_at(
+        Some(error) => Err(error_at(
             GraphQlErrorKind::Syntax,
             format!("syntax error: {}", error.message()),
             location(text, error.index()),
@@ -65,8 +65,8 @@
     }
 }
 
-/// Rejects a line end in a string that is no block string, which the parser accepts against 2.9.4. A server that ends
-/// the string with its line would find another operation behind it.
+/// Rejects line ends in strings that are not block strings, which the parser accepts although 2.9.4 forbids them. A
+/// server that ends the string at the end of the line could find another operation behind it.
 fn check_strings(text: &str, tree: &SyntaxTree) -> Result<(), GraphQlError> {
     let document = tree.document();
     let tokens = document.syntax().descendants_with_tokens();
@@ -74,7 +74,7 @@
         let source = token.text();
         let is_string = source.starts_with('"') && !source.starts_with("\"\"\"");
         if is_string && source.contains('\n') {
-            return Err(fault_at(
+            return Err(error_at(
                 GraphQlErrorKind::Syntax,
                 "a string runs past the end of its line",
                 location(text, token.text_range().start().into()),
@@ -89,19 +89,19 @@
     node.syntax().text_range().start().into()
 }
 
-/// Converts definitions of the parser's tree.
+/// Converts definitions of the parser's tree to [`super::tree`].
 struct Converter<'a> {
     text: &'a str,
 }
 
 impl Converter<'_> {
-    fn fault(
+    fn error(
         &self,
         kind: GraphQlErrorKind,
         message: impl Into<String>,
         node: &impl CstNode,
     ) -> GraphQlError {
-        fault_at(kind, message, location(self.text, offset(node)))
+        error_at(kind, message, location(self.text, offset(node)))
     }
 
     fn add_fragment(
@@ -114,7 +114,7 @@
             .and_then(|name| name.name())
             .map(|name| name.text().to_string())
             .ok_or_else(|| {
-                self.fault(
+                self.error(
                     GraphQlErrorKind::Syntax,
                     "a fragment without a name",
                     fragment,
@@ -123,7 +123,7 @@
         let selections = self.selections(fragment.selection_set())?;
         if fragments.insert(name.clone(), selections).is_some() {
             let message = format!("two fragments are named `{name}`");
-            return Err(self.fault(GraphQlErrorKind::Validation, message, fragment));
+            return Err(self.error(GraphQlErrorKind::Validation, message, fragment));
         }
         Ok(())
     }
@@ -161,7 +161,7 @@
             };
             if defaults.insert(name.text().to_string(), default).is_some() {
                 let message = format!("two variables are named `{}`", name.text());
-                return Err(self.fault(GraphQlErrorKind::Validation, message, &variable));
+                return Err(self.error(GraphQlErrorKind::Validation, message, &variable));
             }
         }
         Ok(defaults)
@@ -175,7 +175,7 @@
     }
 
     fn selection(&self, selection: &cst::Selection) -> Result<Selection, GraphQlError> {
-        let unnamed = || self.fault(GraphQlErrorKind::Syntax, "a name is missing", selection);
+        let unnamed = || self.error(GraphQlErrorKind::Syntax, "a name is missing", selection);
         Ok(match selection {
             cst::Selection::Field(field) => Selection::Field {
                 name: field.name().ok_or_else(unnamed)?.text().to_string(),
@@ -233,7 +233,7 @@
     conditions
 }
 
-/// The argument `if` of a directive, the last one of duplicates.
+/// The argument `if` of a directive; of several, the last one.
 fn condition(directive: &cst::Directive) -> Condition {
     let arguments = directive.arguments();
     let condition = arguments
--- a/crates/graphql/src/document/tree.rs
+++ b/crates/graphql/src/document/tree.rs
@@ -1,12 +1,12 @@
-//! What is needed of a document, independent of the parser that read it.
+//! The needed parts of a document, independent of the parser.
 //!
-//! Offsets are bytes of the text. Only faults need the line and column of an offset, and counting them for every
-//! selection would take time that grows with the square of the document.
+//! Positions are byte offsets in the text. Line and column are computed only for errors: computing them for every
+//! selection would take time quadratic in the length of the document.
 
 use super::OperationKind;
 use std::collections::HashMap;
 
-/// A document.
+/// The operations and fragments of a document.
 #[derive(Debug, Default)]
 pub(super) struct Document {
     pub(super) operations: Vec<OperationDefinition>,
@@ -22,13 +22,13 @@
     /// The type; `None` for a subscription.
     pub(super) kind: Option<OperationKind>,
     pub(super) name: Option<String>,
-    /// The defaults of its variables; `None` for one without a Boolean default.
+    /// The Boolean defaults of the operation's variables; `None` for a variable without one.
     pub(super) defaults: HashMap<String, Option<bool>>,
     pub(super) selections: Vec<Selection>,
     pub(super) offset: usize,
 }
 
-/// A selection of a selection set.
+/// An element of a selection set.
 #[derive(Debug)]
 pub(super) enum Selection {
     Field {
@@ -70,6 +70,6 @@
 pub(super) enum Condition {
     Literal(bool),
     Variable(String),
-    /// Missing or of another type: servers reject it, so nothing is concluded from it.
+    /// The argument is missing or has another type. Servers reject such a directive, so no value is assumed.
     Invalid,
 }
--- a/crates/graphql/src/lib.rs
+++ b/crates/graphql/src/lib.rs
@@ -1,18 +1,18 @@
 //! GraphQL over HTTP, without I/O.
 //!
-//! Finds out what a node has to know before it may forward, retry or reject a request: the operation that it executes,
-//! the class of that operation, and whether a retry is safe. No schema is needed: a mapping of root fields to classes
-//! determines the class, and whatever is unknown counts as unsafe.
+//! Determines what a node has to know before it may forward, retry or reject a request: the operation that the request
+//! executes, the class of that operation, and whether a retry is safe. No schema is needed: a mapping of root fields to
+//! classes determines the class, and an operation whose effects are unknown counts as unsafe to retry.
 //!
 //! | module | content |
 //! | --- | --- |
-//! | [`decode`] | decodes the parameters of a request from a POST body or a GET query, strictly |
+//! | [`decode`] | decodes the parameters of a request from a POST body or a GET query; rejects ambiguous ones |
 //! | [`document`] | finds the operation of a document, with its root fields |
 //! | [`class`] | the class of an operation |
-//! | [`batch`] | schedules the entries of a batch |
-//! | [`persisted`] | cache of documents by their hash |
+//! | [`batch`] | schedules the entries of a batch, and collects their results |
+//! | [`persisted`] | a cache of documents by their hash |
 //! | [`media`] | negotiates the media type of a response, and chooses its status |
-//! | [`answer`] | validates the response of a server, and makes those of the node |
+//! | [`answer`] | validates the responses of servers, and builds those of the node |
 //!
 //! Sources: the GraphQL specification (October 2021) and GraphQL over HTTP (working draft).
 
@@ -26,7 +26,7 @@
 
 use thiserror::Error;
 
-/// Limits of a request. The error that a limit causes names it.
+/// Limits of requests and of the cache of persisted documents. The error for an exceeded limit names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum length of a document, in bytes.
@@ -92,13 +92,13 @@
 /// Kinds of errors, which determine status and code of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GraphQlErrorKind {
-    /// It is no well-formed GraphQL over HTTP request, whatever the document.
+    /// The request is not well-formed GraphQL over HTTP, whatever its document.
     Request,
     /// The document can't be parsed.
     Syntax,
     /// The document or the choice of its operation is invalid.
     Validation,
-    /// A mutation or subscription by GET.
+    /// The HTTP method is not allowed: a mutation by GET, or a method other than GET and POST.
     Method,
     /// The media type or charset of the body is not supported.
     MediaType,
@@ -106,7 +106,7 @@
     NotAcceptable,
     /// A limit is exceeded; the message names it.
     Limit,
-    /// The hash of a persisted document is unknown.
+    /// The cache has no document with the hash of the request.
     PersistedQueryNotFound,
     /// Subscriptions are not supported.
     Subscription,
@@ -130,7 +130,7 @@
 }
 
 impl GraphQlError {
-    /// A fault without a position.
+    /// An error without a position in the document.
     pub fn new(kind: GraphQlErrorKind, message: impl Into<String>) -> GraphQlError {
         GraphQlError {
             kind,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A fault for an exceeded limit.
+    /// The error for an exceeded limit of this name.
     pub fn limit(name: &str, max: usize) -> GraphQlError {
         GraphQlError::new(
             GraphQlErrorKind::Limit,
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -1,4 +1,4 @@
-//! Negotiates the media type of a response, validates that of a request, and chooses the status of an error.
+//! Negotiates the media type of a response, validates that of a request, and chooses the status of an error response.
 //!
 //! Sources: GraphQL over HTTP, "Media Types", "Request" and "Response"; RFC 9110 section 12.5.1 (Accept) and 8.3
 //! (Content-Type).
@@ -24,7 +24,8 @@
     }
 }
 
-/// Negotiates the media type of a response. Clients without `Accept` predate the newer type and get `application/json`.
+/// Negotiates the media type of a response. Without `Accept` it is `application/json`, since such clients predate the
+/// newer type.
 ///
 /// # Errors
 /// If the client accepts neither type.
@@ -40,7 +41,8 @@
             "answers are application/graphql-response+json or application/json, in UTF-8",
         ));
     }
-    // At equal quality, the newer type has to be named: a client with wildcards alone may not know it.
+    // At equal quality, the newer type is used only if the client names it: a client that sends wildcards may not know
+    // it.
     let is_preferred = response.quality > json.quality
         || (response.quality == json.quality && response.precision == Precision::Type);
     Ok(if is_preferred {
@@ -61,7 +63,7 @@
     Type,
 }
 
-/// How much a client wants a media type.
+/// A client's preference for a media type, from its `Accept` header.
 #[derive(Clone, Copy, Debug)]
 struct Preference {
     precision: Precision,
@@ -120,22 +122,22 @@
 /// # Errors
 /// If it is not `application/json` in UTF-8.
 pub fn check_body(content_type: Option<&str>) -> Result<(), GraphQlError> {
-    let fault = |mistake: &str| Err(GraphQlError::new(GraphQlErrorKind::MediaType, mistake));
+    let error = |message: &str| Err(GraphQlError::new(GraphQlErrorKind::MediaType, message));
     let Some(content_type) = content_type else {
-        return fault("no Content-Type: send application/json");
+        return error("no Content-Type: send application/json");
     };
     let mut parts = content_type.split(';').map(str::trim);
     let is_json = parts
         .next()
         .is_some_and(|media_type| media_type.eq_ignore_ascii_case("application/json"));
     if !is_json {
-        return fault("the body has to be application/json");
+        return error("the body has to be application/json");
     }
     for parameter in parts {
         if let Some((key, value)) = parameter.split_once('=') {
             let is_utf8 = value.trim().trim_matches('"').eq_ignore_ascii_case("utf-8");
             if key.trim().eq_ignore_ascii_case("charset") && !is_utf8 {
-                return fault("the body has to be in UTF-8");
+                return error("the body has to be in UTF-8");
             }
         }
     }
@@ -149,7 +151,8 @@
         (GraphQlErrorKind::MediaType, _) => 415,
         (GraphQlErrorKind::NotAcceptable, _) => 406,
         (GraphQlErrorKind::Request, _) => 400,
-        // By the protocol of persisted queries, clients then send the document, whatever the status. Caches store neither.
+        // By the protocol of persisted queries, clients then send the document, whatever the status. Neither response
+        // is cached.
         (GraphQlErrorKind::PersistedQueryNotFound, _) => 200,
         // GraphQL over HTTP: a server SHOULD use 200 for a well-formed request, even if there are errors.
         (_, Media::Json) => 200,
--- a/crates/graphql/src/persisted.rs
+++ b/crates/graphql/src/persisted.rs
@@ -1,13 +1,13 @@
-//! A cache of persisted documents by their hash, with eviction of the least recently used ones.
+//! A cache of persisted documents by their hash, which evicts the least recently used ones.
 //!
-//! A hash alone is resolved here or rejected, and never forwarded.
+//! A request that has only a hash is resolved here or rejected; the hash is never forwarded alone.
 
 use crate::{GraphQlError, GraphQlErrorKind, Limits};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// A SHA-256 hash.
+/// The SHA-256 hash of a document's text.
 pub type DocumentHash = [u8; 32];
 
 #[derive(Debug)]
@@ -17,15 +17,15 @@
     last_use: u64,
 }
 
-/// The cache.
+/// The cache of persisted documents.
 #[derive(Debug, Default)]
 pub struct PersistedDocuments {
     documents: HashMap<DocumentHash, CachedDocument>,
-    /// The documents in the order of their last use.
+    /// The documents ordered by their last use.
     by_last_use: BTreeMap<u64, DocumentHash>,
-    /// Counts all uses.
+    /// Number of uses of any document, which serves as the time of a use.
     uses: u64,
-    /// Length of all documents.
+    /// Total length of the documents, in bytes.
     bytes: usize,
 }
 
@@ -35,25 +35,25 @@
         Self::default()
     }
 
-    /// Number of documents.
+    /// Number of cached documents.
     pub fn len(&self) -> usize {
         self.documents.len()
     }
 
-    /// Whether there are no documents.
+    /// Whether no document is cached.
     pub fn is_empty(&self) -> bool {
         self.documents.is_empty()
     }
 
-    /// Length of all documents, in bytes.
+    /// Total length of the cached documents, in bytes.
     pub fn total_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The document of a request: its own, or the cached one with its hash. Does not cache anything.
+    /// The document of a request: the one that it contains, or the cached one with its hash. Does not cache anything.
     ///
     /// # Errors
-    /// If the hash is not that of the document, or is unknown.
+    /// If the request has neither, the hash does not match the document, or no document with the hash is cached.
     pub fn resolve(
         &mut self,
         query: Option<&str>,
@@ -85,7 +85,8 @@
         Some(cached.document.clone())
     }
 
-    /// Caches a valid document, unless it is larger than the cache.
+    /// Caches a document that was found valid, and evicts others as the limits require. A document that exceeds the
+    /// limit on bytes is not cached.
     pub fn insert(&mut self, document: &str, limits: &Limits) {
         let hash = hash_of(document);
         if self.get(&hash).is_some()
--- a/crates/graphql/tests/batch.rs
+++ b/crates/graphql/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Batches on random schedules, the store of persisted documents, and responses.
+//! Batches with random schedules, the cache of persisted documents, and responses.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -12,19 +12,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// One of the running entries finishes with one of three results.
+    /// One of the running entries finishes, with one of three results.
     Finish {
         pick: usize,
         result: u8,
     },
-    /// An entry, running or not, is reported not to have run.
+    /// An entry, which may not be running, is reported as never run.
     ReportNeverRan {
         pick: usize,
     },
     EndBatch,
 }
 
-/// A batch on a random schedule, and what is expected of it.
+/// A batch, and its expected state after the steps so far.
 struct Schedule {
     batch: Batch<usize>,
     /// For each entry, whether it is a write.
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Checks the entries that the batch has started, and adds them to the running ones.
+    /// Checks that the batch was allowed to start these entries, and adds them to the running ones.
     fn start(&mut self, entries: Vec<usize>) -> Result<(), TestCaseError> {
         prop_assert!(
             !self.has_ended || entries.is_empty(),
-            "started after the end"
+            "an entry started after the end of the batch"
         );
         for entry in entries {
-            prop_assert!(!self.started.contains(&entry), "started twice");
+            prop_assert!(!self.started.contains(&entry), "an entry started twice");
             if self.writes[entry] {
                 let mut earlier_writes = (0..entry).filter(|earlier| self.writes[*earlier]);
                 prop_assert!(
@@ -88,7 +88,7 @@
             }
             Step::Finish { .. } => {}
             Step::ReportNeverRan { pick } => {
-                // The report counts if the entry was running, and is ignored otherwise.
+                // The report is ignored if the entry is not running.
                 let entry = pick % self.writes.len();
                 self.batch.finish(entry, EntryResult::NeverRan);
                 if self.running.contains(&entry) {
@@ -201,7 +201,7 @@
     for document in ["{a}", "{b}", "{c}"] {
         store.insert(document, &limits);
     }
-    // The most recently used document is retained.
+    // A use of the oldest document protects it from the next eviction.
     assert_eq!(
         kind(store.resolve(None, Some(hash_of("{a}")))).as_deref(),
         Ok("{a}")
@@ -220,10 +220,10 @@
     assert_eq!(
         (store.len(), store.total_bytes()),
         (2, 98),
-        "over the limit on bytes"
+        "documents are not evicted to stay within the limit on bytes"
     );
     store.insert(&"y".repeat(101), &limits);
-    assert_eq!(store.len(), 2, "a document larger than the store is cached");
+    assert_eq!(store.len(), 2, "a document larger than the cache is cached");
     for index in 0..10_000 {
         store.insert(&format!("{{a{index}}}"), &limits);
         assert!(store.len() <= 3 && store.total_bytes() <= 100);
--- a/crates/graphql/tests/common/mod.rs
+++ b/crates/graphql/tests/common/mod.rs
@@ -1,3 +1,3 @@
-//! What several tests of this package share.
+//! Code shared by several tests of this package.
 
 pub mod naive;
--- a/crates/graphql/tests/common/naive.rs
+++ b/crates/graphql/tests/common/naive.rs
@@ -1,9 +1,9 @@
-//! A reader of documents that knows lexical tokens and brackets and nothing else, written from the specification's section
-//! 2.1 and sharing no line with the package or its parser: an oracle for tests and for fuzzing.
+//! A scanner of documents that knows only lexical tokens and brackets, as an oracle for tests and fuzzing. It was
+//! written from section 2.1 of the specification, and shares no code with the package or its parser.
 
-/// What a definition begins with, and its name.
+/// The keyword that a definition begins with (`query` for the shorthand), and the name of the definition.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Defined {
+pub struct Definition {
     pub keyword: String,
     pub name: Option<String>,
 }
@@ -11,11 +11,11 @@
 #[derive(PartialEq)]
 enum Token {
     Name(String),
-    Mark(char),
+    Bracket(char),
     Other,
 }
 
-/// The tokens of a document; `None` where it has none that can be told.
+/// The tokens of a document; `None` if a string is not terminated.
 fn tokens(text: &str) -> Option<Vec<Token>> {
     let chars: Vec<char> = text.chars().collect();
     let at = |n: usize| chars.get(n).copied();
@@ -64,7 +64,7 @@
             }
             ' ' | '\t' | '\n' | '\r' | ',' | '\u{feff}' => n += 1,
             c if "{}()[]".contains(c) => {
-                tokens.push(Token::Mark(c));
+                tokens.push(Token::Bracket(c));
                 n += 1;
             }
             _ => {
@@ -76,15 +76,15 @@
     Some(tokens)
 }
 
-/// The definitions of a document, in their order; `None` where they can't be told.
-pub fn definitions(text: &str) -> Option<Vec<Defined>> {
+/// The definitions of a document, in order; `None` if its tokens or brackets are invalid.
+pub fn definitions(text: &str) -> Option<Vec<Definition>> {
     let tokens = tokens(text)?;
-    let (mut found, mut depth, mut within) = (Vec::new(), 0usize, false);
+    let (mut definitions, mut depth, mut in_definition) = (Vec::new(), 0usize, false);
     for (n, token) in tokens.iter().enumerate() {
-        if !within {
-            within = true;
+        if !in_definition {
+            in_definition = true;
             match token {
-                Token::Mark('{') => found.push(Defined {
+                Token::Bracket('{') => definitions.push(Definition {
                     keyword: "query".to_owned(),
                     name: None,
                 }),
@@ -93,7 +93,7 @@
                         Some(Token::Name(name)) => Some(name.clone()),
                         _ => None,
                     };
-                    found.push(Defined {
+                    definitions.push(Definition {
                         keyword: keyword.clone(),
                         name,
                     });
@@ -102,18 +102,18 @@
             }
         }
         match token {
-            Token::Mark('{' | '(' | '[') => depth += 1,
-            Token::Mark(closing) => {
+            Token::Bracket('{' | '(' | '[') => depth += 1,
+            Token::Bracket(closing) => {
                 depth = depth.checked_sub(1)?;
-                within = depth > 0 || *closing != '}';
+                in_definition = depth > 0 || *closing != '}';
             }
             _ => {}
         }
     }
-    (depth == 0 && !within).then_some(found)
+    (depth == 0 && !in_definition).then_some(definitions)
 }
 
-/// The keyword of the operation that runs; `None` where that can't be told.
+/// The keyword of the operation that runs; `None` if there is no such operation or more than one.
 pub fn keyword(text: &str, name: Option<&str>) -> Option<String> {
     let mut operations = definitions(text)?;
     operations.retain(|d| d.keyword != "fragment");
--- a/crates/graphql/tests/decode.rs
+++ b/crates/graphql/tests/decode.rs
@@ -1,17 +1,17 @@
-//! Parameters, media types and statuses, including requests that two parsers could interpret differently.
+//! Decoding of parameters, media types and statuses, including requests that two parsers could interpret differently.
 
 use reelfall_graphql::decode::{parse_body, parse_query, DecodedRequest, Params};
 use reelfall_graphql::media::{check_body, negotiate, status, Media};
 use reelfall_graphql::{GraphQlError, GraphQlErrorKind, Limits};
 
-/// The depth of values that a parser with a stack frame for each level could not read.
+/// A nesting depth at which a recursive parser would overflow its stack.
 const NESTING: usize = 100_000;
 
-/// Decodes a body of one request.
+/// Decodes a body that is no batch.
 fn decode_single(text: &str) -> Result<Params, GraphQlError> {
     match parse_body(text.as_bytes(), &Limits::default()) {
         Ok(DecodedRequest::Single(params)) => Ok(params),
-        Ok(DecodedRequest::Batch(_)) => panic!("a batch"),
+        Ok(DecodedRequest::Batch(_)) => panic!("decoded as a batch"),
         Err(error) => Err(error),
     }
 }
@@ -30,7 +30,7 @@
         decode_single(r#"{"query":"{a}","operationName":null,"variables":null,"extensions":null}"#)
             .unwrap();
     assert_eq!(nulls, decode_single(r#"{"query":"{a}"}"#).unwrap());
-    // A key with escapes is the same key.
+    // A key is the same with escaped characters.
     assert_eq!(
         decode_single("{\"\\u0071uery\":\"{a}\"}")
             .unwrap()
@@ -128,7 +128,7 @@
 fn batch_entries_are_unchanged_and_bounded() {
     let text = r#"[ {"query":"{a}"} , {"variables":{"x": 1.0e0},"query":"mutation { b }"}]"#;
     let Ok(DecodedRequest::Batch(entries)) = parse_body(text.as_bytes(), &Limits::default()) else {
-        panic!("no batch")
+        panic!("not decoded as a batch")
     };
     assert_eq!(
         entries[1].1,
--- a/crates/graphql/tests/document/classes.rs
+++ b/crates/graphql/tests/document/classes.rs
@@ -1,4 +1,4 @@
-//! Mappings of fields to classes.
+//! Validation of mappings of fields to classes.
 
 use reelfall_graphql::class::{ClassId, ClassInfo, Classes, Mapping, MappingError};
 
@@ -6,7 +6,7 @@
 const NOT_IDEMPOTENT: ClassId = 1;
 const UNKNOWN: ClassId = 7;
 
-/// A mapping of mutations.
+/// A mapping with these classes of mutation fields.
 fn mutation_mapping(fields: &[(&str, ClassId)], other_mutation: ClassId) -> Mapping {
     Mapping {
         mutation: fields
@@ -18,7 +18,7 @@
     }
 }
 
-/// Validates a mapping to an idempotent class and one that is not.
+/// Validates a mapping for two classes, of which the first is idempotent.
 fn validate(mapping: Mapping) -> Result<(), MappingError> {
     let info = |is_idempotent| ClassInfo {
         is_idempotent,
--- a/crates/graphql/tests/document/limits.rs
+++ b/crates/graphql/tests/document/limits.rs
@@ -4,7 +4,7 @@
 use reelfall_graphql::GraphQlErrorKind;
 use std::time::{Duration, Instant};
 
-/// The time within which a document is rejected.
+/// The time within which a document has to be rejected.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Asserts that a document is rejected in time, with an error that names the limit.
@@ -18,10 +18,10 @@
         "{} instead of {limit}",
         error.message
     );
-    assert!(start.elapsed() < TIMEOUT, "it takes too long");
+    assert!(start.elapsed() < TIMEOUT, "the rejection took too long");
 }
 
-/// The texts for 0 to `count` in a row.
+/// Concatenates the texts for the indexes below `count`.
 fn repeated(count: usize, text: impl Fn(usize) -> String) -> String {
     (0..count).map(text).collect()
 }
@@ -49,7 +49,7 @@
     assert_exceeds(&format!("{{ {roots} }}"), "root fields of an operation");
     let fragments = repeated(200, |index| format!("fragment F{index} on Q{{a}} "));
     assert_exceeds(&format!("{{a}} {fragments}"), "fragments of a document");
-    // Each fragment spreads the next twice: 2 to the 30th fields.
+    // Each of 30 fragments spreads the next one twice, which makes 2^30 fields.
     let doubling = repeated(30, |index| {
         let next = index + 1;
         format!("fragment F{index} on Q{{...F{next} ...F{next}}} ")
--- a/crates/graphql/tests/document/operation_choice.rs
+++ b/crates/graphql/tests/document/operation_choice.rs
@@ -1,4 +1,4 @@
-//! Which operation of a document runs.
+//! The choice of the operation that a request executes.
 
 use crate::parse;
 use reelfall_graphql::document::OperationKind;
--- a/crates/graphql/tests/document/printer.rs
+++ b/crates/graphql/tests/document/printer.rs
@@ -1,19 +1,19 @@
-//! The text of a document tree.
+//! Prints the tree of a document as text.
 
 use crate::tree::{Condition, Document, OperationForm, Selection};
 
-/// A comment that holds a closing bracket and a mutation.
+/// A comment that contains a closing bracket and a mutation.
 const NOISE_COMMENT: &str = " # } mutation { toggle }\n , ";
 
-/// Arguments whose strings hold quotes, brackets and a mutation.
+/// Arguments whose strings contain quotes, brackets and a mutation.
 const NOISE_ARGUMENTS: &str =
     "(a: \"\"\"} mutation { \\\"\"\" toggle }\"\"\", b: \"} { \\\" mutation\")";
 
-/// A document's text and the name of the operation that runs.
+/// The text of a document, and the operation name of its request.
 pub struct PrintedDocument {
     /// The text.
     pub text: String,
-    /// The name, if the document has several operations.
+    /// The name of the operation that runs, if the document has several operations.
     pub operation_name: Option<String>,
 }
 
--- a/crates/graphql/tests/document/random.rs
+++ b/crates/graphql/tests/document/random.rs
@@ -1,4 +1,4 @@
-//! Random documents, valid and corrupted, against the reference evaluator and a reader of lexical tokens.
+//! Compares random documents, valid and corrupted, with the reference evaluator and with a scanner of lexical tokens.
 
 use crate::common::naive;
 use crate::printer::{print, PrintedDocument};
@@ -15,13 +15,13 @@
 
 const IDEMPOTENT: ClassId = 0;
 const NOT_IDEMPOTENT: ClassId = 1;
-/// A class that is not idempotent either, with a shorter deadline, which makes it the strictest.
+/// The strictest class: it is not idempotent, and has the shortest deadline.
 const SHORT_DEADLINE: ClassId = 2;
 
-/// The number of documents of each test, unless the environment sets another one.
+/// Number of documents of each test, unless the environment variable `DOCUMENTS` is set.
 const DEFAULT_DOCUMENTS: u32 = 2_000;
 
-/// The bytes that a corruption inserts.
+/// The bytes that a corruption can insert.
 const INSERTED_BYTES: &[u8; 14] = b"{}()@\"#\\\r\n :$.";
 
 fn classes() -> Classes {
@@ -50,7 +50,7 @@
     .unwrap()
 }
 
-/// The limits for valid documents, which none of them reaches.
+/// Limits that no generated document exceeds.
 fn wide_limits() -> Limits {
     Limits {
         depth: 64,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Checks the operation of a corrupted document, if it parses; whether it does.
+/// Checks the operation of a corrupted document if it can be parsed; returns whether it can.
 fn check_corrupted(text: &str, operation_name: Option<&str>) -> bool {
     let Ok(operation) = parse_operation(text, operation_name, &Map::new(), &Limits::default())
     else {
@@ -190,7 +190,7 @@
     assert_eq!(
         expected_kind,
         Some(operation.kind),
-        "the keyword is {keyword:?}: {text}"
+        "the scanner finds the keyword {keyword:?}: {text}"
     );
     assert!(
         !classes().is_idempotent(&operation) || keyword.as_deref() == Some("query"),
--- a/crates/graphql/tests/document/reference.rs
+++ b/crates/graphql/tests/document/reference.rs
@@ -1,4 +1,4 @@
-//! A reference evaluator. It works on the tree of a document and uses no parser.
+//! A reference evaluator, which works on the tree of a document instead of its text.
 
 use crate::tree::{Condition, Document, OperationForm, Selection};
 use std::collections::BTreeSet;
@@ -6,13 +6,13 @@
 /// A root field.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RootField {
-    /// Its key in the response: the alias, or else the name.
+    /// The key in the response: the alias, or the name if there is none.
     pub key: String,
-    /// Its name.
+    /// The name of the field in the schema.
     pub field: String,
 }
 
-/// What runs when a document is requested.
+/// What a request for a document executes.
 pub struct Evaluation {
     /// Whether the operation is a mutation.
     pub is_mutation: bool,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Evaluates the operation that runs.
+/// Evaluates the operation that the request executes.
 pub fn evaluate(document: &Document) -> Evaluation {
     let is_skipped = |skip: &Condition| condition_value(document, skip) == Some(true);
     let is_excluded = |include: &Condition| condition_value(document, include) == Some(false);
--- a/crates/graphql/tests/document/syntax.rs
+++ b/crates/graphql/tests/document/syntax.rs
@@ -1,4 +1,4 @@
-//! Syntax errors: their locations, and characters that other readers take for the end of a line.
+//! Syntax errors: their locations, and characters that other parsers may take for the end of a line.
 
 use crate::parse;
 use reelfall_graphql::{GraphQlErrorKind, Location};
--- a/crates/graphql/tests/document/tree.rs
+++ b/crates/graphql/tests/document/tree.rs
@@ -1,8 +1,8 @@
-//! Random documents as trees.
+//! Trees of random documents.
 
 use proptest::prelude::{any, prop, prop_oneof, Just, Strategy};
 
-/// The number of variables that the operations of a document define.
+/// Number of variables that each operation of a document defines.
 pub const VARIABLES: usize = 3;
 
 /// The value of an `@skip` or `@include` directive.
@@ -10,9 +10,9 @@
 pub enum Condition {
     /// There is no directive.
     Absent,
-    /// A constant.
+    /// A Boolean literal.
     Literal(bool),
-    /// The variable of this index. It may have a value, a default, or neither.
+    /// The variable with this index, which may have a value, a default, or neither.
     Variable(u8),
 }
 
@@ -57,15 +57,15 @@
     Query,
     /// The keyword `mutation`.
     Mutation,
-    /// The query shorthand: no keyword, no name and no variables. Only the operation of a document with one can have
-    /// this form; others are queries.
+    /// The query shorthand, without keyword, name and variables. It is valid only if the document has one operation;
+    /// otherwise it is printed as a query.
     Shorthand,
 }
 
 /// An operation.
 #[derive(Clone, Debug)]
 pub struct OperationTree {
-    /// How it begins.
+    /// How the operation begins.
     pub form: OperationForm,
     /// The selection set.
     pub selections: Vec<Selection>,
@@ -84,7 +84,7 @@
     pub values: [Option<bool>; VARIABLES],
     /// The default values of the variables.
     pub defaults: [Option<bool>; VARIABLES],
-    /// Whether comments and strings with brackets and keywords stand between the tokens.
+    /// Whether comments and strings with brackets and keywords are inserted.
     pub has_noise: bool,
 }
 
@@ -180,7 +180,7 @@
 
 /// A valid document.
 pub fn document() -> impl Strategy<Value = Document> {
-    // A fragment spreads only those before it, so that there are no cycles.
+    // A fragment spreads only earlier ones, so that there are no cycles.
     let fragments = (selections(0), selections(1), selections(2))
         .prop_map(|(first, second, third)| vec![first, second, third]);
     let operations = prop::collection::vec(operation(), 1..4);
