--- a/crates/gateway/src/forwarded.rs
+++ b/crates/gateway/src/forwarded.rs
@@ -8,26 +8,26 @@
 pub enum ForwardResult<A> {
     /// The peer responded.
     Answered(A),
-    /// It never ran at the peer, and never will: the origin may run or reject it.
+    /// The request never ran at the peer, and never will: the origin may run or reject it.
     NeverRan,
-    /// It may have run: it fails, and must not be retried.
+    /// The request may have run: it fails, and must not be retried.
     MayHaveRun,
 }
 
 /// What the origin has to do next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action<A> {
-    /// Wait.
+    /// Wait for a status or for [`ForwardedRequest::due`].
     Wait,
-    /// Query the status of the ticket, over a connection that works.
+    /// Query the status of the ticket over a working connection.
     Query,
-    /// The request has ended. Returned once.
+    /// The request has ended with this result. Returned once.
     Finish(ForwardResult<A>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// It was offered, and the link has not failed.
+    /// The request was offered, and the link has not failed since.
     Offered,
     /// The link has failed. The status was queried, and will be queried again at `next_query`.
     Querying {
@@ -39,7 +39,7 @@
 /// A forwarded request at its origin.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ForwardedRequest {
-    /// The incarnation of the peer that it was offered to; queries have to name it.
+    /// The incarnation of the peer that the request was offered to. Queries have to state it.
     pub offered_to: u64,
     deadline: Millis,
     query_interval: Millis,
@@ -47,8 +47,8 @@
 }
 
 impl ForwardedRequest {
-    /// A request that has just been offered. It ends at `deadline` at the latest; after a failure of the link, its status
-    /// is queried every `query_interval`.
+    /// A request that has just been offered to the incarnation `offered_to` of the peer. It ends at `deadline` at the
+    /// latest. After a failure of the link, its status is queried at intervals of `query_interval`.
     pub fn new(offered_to: u64, deadline: Millis, query_interval: Millis) -> Self {
         ForwardedRequest {
             offered_to,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Whether it has ended.
+    /// Whether the request has ended.
     pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// The time of the next [`ForwardedRequest::tick`]; `None` once it has ended.
+    /// When [`ForwardedRequest::tick`] has to be called next; `None` once the request has ended.
     pub fn due(&self) -> Option<Millis> {
         match self.state {
             State::Offered => Some(self.deadline),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Handles a failure or a time-out of the connection over which it was offered.
+    /// Handles a failure or time-out of the connection over which the request was offered.
     pub fn link_failed<A>(&mut self, now: Millis) -> Action<A> {
         match self.state {
             State::Offered => {
@@ -88,17 +88,17 @@
     /// Handles the status that the incarnation `reported_by` of the peer sent in response to the offer or to a query.
     pub fn handle_status<A>(&mut self, reported_by: u64, status: TicketStatus<A>) -> Action<A> {
         match status {
-            // Another incarnation has no record of it, whatever it reports.
+            // Another incarnation has no record of the request, so its report is not used.
             _ if reported_by != self.offered_to => self.finish(ForwardResult::MayHaveRun),
             TicketStatus::Completed(response) => self.finish(ForwardResult::Answered(response)),
             TicketStatus::NeverRan => self.finish(ForwardResult::NeverRan),
             TicketStatus::Failed | TicketStatus::Unknown => self.finish(ForwardResult::MayHaveRun),
-            // The response is still to come, or the next query will return it.
+            // The response follows, or a later query returns it.
             TicketStatus::InProgress => Action::Wait,
         }
     }
 
-    /// Repeats the query, or ends the request at its deadline.
+    /// Repeats the query if it is due, or ends the request at its deadline.
     pub fn tick<A>(&mut self, now: Millis) -> Action<A> {
         match self.state {
             State::Ended => Action::Wait,
@@ -112,7 +112,7 @@
             _ => Action::Wait,
         }
     }
-    /// Ends the request, once.
+    /// Ends the request with a result; does nothing if it has ended already.
     fn finish<A>(&mut self, result: ForwardResult<A>) -> Action<A> {
         if self.is_ended() {
             return Action::Wait;
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,9 +1,9 @@
 //! The records of forwarded requests at the peer, which executes each ticket at most once and answers status queries.
 //!
-//! Memory is bounded. For each incarnation of an origin the store has a *floor*: the record of a ticket below it may have
-//! been removed, so that a copy without a record is not executed, and a query is answered with
-//! [`TicketStatus::Unknown`]. A ticket at or above the floor without a record was certainly never executed. Removing a
-//! record raises the floor.
+//! To bound memory, old records are removed. For the latest incarnation of each origin, the store has a *floor*: the
+//! record of a ticket below it may have been removed, so a request without a record is not executed, and a query is
+//! answered with [`TicketStatus::Unknown`]. A ticket at or above the floor without a record was certainly never
+//! executed. Removing a record raises the floor above its ticket.
 
 use crate::ticket::{OriginId, Ticket, TicketStatus};
 use crate::Millis;
@@ -12,15 +12,15 @@
 /// What to do with an offered request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Admission<A> {
-    /// Execute it, and report its end to [`TicketStore::complete`].
+    /// Execute the request, and report its end to [`TicketStore::complete`] or [`TicketStore::reject`].
     Execute,
-    /// Do not execute it; reply with this status.
+    /// Do not execute the request; reply with this status.
     Reply(TicketStatus<A>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum RecordState<A> {
-    /// It was never executed, and never will be.
+    /// The request was never executed, and never will be.
     Fenced,
     InProgress,
     Completed(A),
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record<A> {
     state: RecordState<A>,
-    /// When the record may be removed; requests in progress never expire.
+    /// When the record may be removed. Records of requests in progress never expire.
     expires_at: Millis,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// The place of a record in a store.
+/// Identifies a record in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RecordKey {
     node: u32,
@@ -49,16 +49,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Origin<A> {
-    /// The latest known incarnation.
+    /// The latest known incarnation of the origin.
     incarnation: u64,
-    /// Tickets below it without a record are unknown.
+    /// The status of tickets below the floor without a record is unknown.
     floor: u64,
     records: BTreeMap<u64, Record<A>>,
 }
 
 /// The records of tickets that were offered to this incarnation of a peer, or whose status was queried.
 ///
-/// Their number is bounded by `max_records`, and their age by `retention`. An origin without records takes constant memory.
+/// The number of records is bounded by `max_records`, and their age after the end of the request by `retention`. An
+/// origin without records takes constant memory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TicketStore<A> {
     incarnation: u64,
@@ -69,8 +70,8 @@
 }
 
 impl<A: Clone> TicketStore<A> {
-    /// An empty store. `incarnation` is that of the peer. Records of requests that have ended are retained for `retention`,
-    /// unless there would be more than `max_records`; then the oldest of them is removed.
+    /// Creates an empty store for an incarnation of the peer. Records of requests that have ended are kept for
+    /// `retention`; the oldest is removed earlier if there would be more than `max_records`.
     pub fn new(incarnation: u64, retention: Millis, max_records: usize) -> Self {
         let max_records = max_records.max(1);
         TicketStore {
@@ -82,13 +83,14 @@
         }
     }
 
-    /// Number of records.
+    /// Number of records, including those of requests in progress.
     pub fn record_count(&self) -> usize {
         self.record_count
     }
 
-    /// The origin, if `id` is its latest known incarnation. A later incarnation removes the records of the earlier one,
-    /// whose status nobody will query and whose requests must not be executed any more.
+    /// The state of an origin; `None` if a later incarnation than `id` is known. The first use of a later incarnation
+    /// removes the records of the earlier one, whose status nobody queries any more and whose requests must not be
+    /// executed.
     fn origin(&mut self, id: OriginId) -> Option<&mut Origin<A>> {
         let new_origin = || Origin {
             incarnation: id.incarnation,
@@ -103,14 +105,14 @@
         (origin.incarnation == id.incarnation).then_some(origin)
     }
 
-    /// Decides on a request that was offered to the incarnation `offered_to` of this peer.
+    /// Decides whether to execute a request that was offered to the incarnation `offered_to` of this peer.
     ///
-    /// No request is executed twice: neither a late copy, after its origin received "never ran" or after its record was
-    /// removed, nor a copy that was offered to an earlier incarnation. Requests beyond `max_records` in progress are
-    /// rejected.
+    /// No request is executed twice: a copy is not executed if it arrives after the origin received "never ran" or
+    /// after the record was removed, or if it was offered to an earlier incarnation. Requests are rejected while
+    /// `max_records` are in progress.
     pub fn admit(&mut self, now: Millis, ticket: Ticket, offered_to: u64) -> Admission<A> {
         if offered_to != self.incarnation {
-            // The incarnation that it was offered to may have executed it.
+            // The incarnation that the request was offered to may have executed it.
             return Admission::Reply(TicketStatus::Unknown);
         }
         if let Some(status) = self.known_status(ticket) {
@@ -119,11 +121,11 @@
         if self.insert(now, ticket, RecordState::InProgress) {
             return Admission::Execute;
         }
-        // It has no record, but the floor is above it now, so it will never be executed.
+        // The ticket has no record, but is below the floor now, so the request will never be executed.
         Admission::Reply(TicketStatus::NeverRan)
     }
 
-    /// The status of a ticket; `None` if it is certain that it was neither offered nor queried before.
+    /// The status of a ticket; `None` if it was certainly neither offered nor queried before.
     fn known_status(&mut self, ticket: Ticket) -> Option<TicketStatus<A>> {
         let Some(origin) = self.origin(ticket.origin) else {
             return Some(TicketStatus::Unknown);
@@ -134,8 +136,8 @@
         }
     }
 
-    /// Inserts a record for a new ticket and returns whether there was capacity for it. If there was none, the floor rises
-    /// past the ticket, which fences it as well, and all tickets below it without a record.
+    /// Inserts a record for a new ticket, and returns whether there was capacity for it. Without capacity, the floor is
+    /// raised above the ticket instead, which fences the ticket and all lower ones without a record.
     fn insert(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) -> bool {
         let has_capacity = self.ensure_capacity();
         let expires_at = now.saturating_add(self.retention);
@@ -153,18 +155,18 @@
         has_capacity
     }
 
-    /// Ends a request that was executed, with a response or without.
+    /// Ends a request that was executed, with or without a response.
     pub fn complete(&mut self, now: Millis, ticket: Ticket, response: Option<A>) {
         let state = response.map_or(RecordState::Failed, RecordState::Completed);
         self.end(now, ticket, state);
     }
 
-    /// Ends a request that was admitted but is known not to have run, because this site rejected it.
+    /// Ends a request that was admitted but did not run, because this site rejected it afterwards.
     pub fn reject(&mut self, now: Millis, ticket: Ticket) {
         self.end(now, ticket, RecordState::Fenced);
     }
 
-    /// Sets the final state of a request in progress.
+    /// Sets the final state of a request in progress. Does nothing if the request has ended or has no record.
     fn end(&mut self, now: Millis, ticket: Ticket, state: RecordState<A>) {
         let expires_at = now.saturating_add(self.retention);
         let Some(origin) = self.origin(ticket.origin) else {
@@ -178,7 +180,8 @@
         }
     }
 
-    /// The status of a ticket, for its origin. If it was never executed, it is fenced: it never will be.
+    /// Answers a status query of the ticket's origin. A ticket that was never executed is fenced, so that it never will
+    /// be.
     pub fn query(&mut self, now: Millis, ticket: Ticket, offered_to: u64) -> TicketStatus<A> {
         if offered_to != self.incarnation {
             return TicketStatus::Unknown;
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Removes the oldest record of a request that has ended, if there is no capacity. Returns whether there is capacity
-    /// now. Records of requests in progress are never removed.
+    /// If the store is full, removes the oldest record of a request that has ended. Returns whether there is capacity
+    /// afterwards. Records of requests in progress are never removed.
     fn ensure_capacity(&mut self) -> bool {
         if self.record_count < self.max_records {
             return true;
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Removes the records whose retention is over.
+    /// Removes the records whose retention time has passed.
     pub fn tick(&mut self, now: Millis) {
         let expired: Vec<RecordKey> = self
             .ended_records()
--- a/crates/gateway/src/ticket.rs
+++ b/crates/gateway/src/ticket.rs
@@ -1,9 +1,9 @@
-//! Tickets, which identify requests that one site forwards to another, and their status as the peer reports it.
+//! Tickets, which identify requests that one site forwards to another, and the status that the peer reports for them.
 
 /// One incarnation of a node at a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OriginId {
-    /// The node, by an id that both sites agree on.
+    /// The id of the node, on which both sites agree.
     pub node: u32,
     /// The incarnation, which increases with each start of the node.
     pub incarnation: u64,
@@ -14,7 +14,7 @@
 pub struct Ticket {
     /// The incarnation of the node that forwarded it.
     pub origin: OriginId,
-    /// The sequence number of the request; each is offered once.
+    /// The sequence number of the request at its origin. Each is offered once.
     pub number: u64,
 }
 
@@ -23,12 +23,12 @@
 pub enum TicketStatus<A> {
     /// The request never ran, and never will.
     NeverRan,
-    /// It is being executed.
+    /// The request is being executed.
     InProgress,
-    /// It has ended with this response.
+    /// The request has ended with this response.
     Completed(A),
-    /// It may have run, and has ended without a response.
+    /// The request may have run, and has ended without a response.
     Failed,
-    /// Its record was removed, or it was offered to another incarnation of the peer.
+    /// The peer can't know: the record was removed, or the request was offered to another incarnation of the peer.
     Unknown,
 }
--- a/crates/gateway/tests/ticket/exploration.rs
+++ b/crates/gateway/tests/ticket/exploration.rs
@@ -18,13 +18,13 @@
     expiries: 0,
 };
 
-/// Far fewer states than any of the models has: the checker does explore.
+/// A lower bound of the states of each model, far below the actual numbers, to show that the checker explores them.
 const MIN_STATES: usize = 500;
 
-/// What a run of the checker found.
+/// The result of a run of the checker.
 struct Exploration {
     states: usize,
-    /// The properties of all states that are violated in one, and the properties of some states that hold in one.
+    /// The `always` properties with a counterexample, and the `sometimes` properties with an example.
     discoveries: BTreeSet<&'static str>,
 }
 
@@ -87,7 +87,7 @@
         assert_safe(Gateway {
             requests: 2,
             max_records: 1,
-            // Whether the origin rejects one request instead makes no difference to the other.
+            // Rejecting a request at the origin instead would make no difference to the other request.
             executes_at_origin: true,
             disabled: Disabled::Nothing,
             faults,
--- a/crates/gateway/tests/ticket/model.rs
+++ b/crates/gateway/tests/ticket/model.rs
@@ -9,27 +9,27 @@
 use reelfall_gateway::Millis;
 use stateright::{Model, Property};
 
-/// The time of all steps but those that wait for a timer.
+/// The time of all steps except timers.
 const NOW: Millis = 0;
 
-/// A safeguard that is disabled, to show that the checker finds the faults that it prevents.
+/// The safeguard to disable, to show that the checker finds the error that it prevents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Disabled {
-    /// None is.
+    /// No safeguard.
     Nothing,
-    /// A status query leaves no fence.
+    /// A status query does not fence the ticket.
     Fence,
     /// A later incarnation of the peer admits and reports on requests that were offered to an earlier one.
     Incarnation,
-    /// A removed record does not raise the floor.
+    /// The removal of a record does not raise the floor.
     Floor,
 }
 
 /// An origin that forwards requests to a peer.
 pub struct Gateway {
-    /// The number of requests.
+    /// Number of requests.
     pub requests: u64,
-    /// The limit of records at the peer.
+    /// Maximum number of records at the peer.
     pub max_records: usize,
     /// Whether the origin executes a request that was never executed at the peer, or rejects it.
     pub executes_at_origin: bool,
@@ -42,7 +42,7 @@
         TicketStore::new(incarnation, RETENTION, self.max_records)
     }
 
-    /// The incarnation that a request counts as offered to.
+    /// The incarnation that the peer treats a request as offered to.
     fn effective_incarnation(&self, world: &World, offered_to: u64) -> u64 {
         if self.disabled == Disabled::Incarnation {
             world.incarnation
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Performs the action that a forwarded request asks for.
+    /// Performs an action that a forwarded request returned.
     fn perform(&self, world: &mut World, number: u64, action: Action<()>) {
         let request = world.request_mut(number);
         match action {
@@ -123,7 +123,7 @@
         self.perform(world, number, action);
     }
 
-    /// The time of a request's timer comes.
+    /// Fires the timer of a request.
     fn tick(&self, world: &mut World, number: u64, now: Millis) {
         let action = world.request_mut(number).forwarded.tick(now);
         self.perform(world, number, action);
@@ -132,7 +132,7 @@
     fn restart(&self, world: &mut World) {
         world.remaining_faults.restarts -= 1;
         world.incarnation += 1;
-        // The servers behind the peer's node finish what they execute.
+        // The servers behind the peer complete the requests that they execute.
         for number in std::mem::take(&mut world.executing) {
             world.request_mut(number).executions_at_peer += 1;
         }
@@ -188,7 +188,7 @@
             continue;
         }
         steps.push(Step::PassDeadline(number));
-        // Until the link fails, the request waits for nothing but its deadline.
+        // Until the link fails, the deadline is the only timer of a request.
         if request.forwarded.due() == Some(DEADLINE) {
             steps.push(Step::FailLink(number));
         } else if world.remaining_queries > 0 {
--- a/crates/gateway/tests/ticket/origin.rs
+++ b/crates/gateway/tests/ticket/origin.rs
@@ -1,4 +1,4 @@
-//! A forwarded request at the origin.
+//! Tests of [`ForwardedRequest`], the state of a request at the origin.
 
 use crate::{DEADLINE, FIRST_INCARNATION, QUERY_INTERVAL};
 use reelfall_gateway::forwarded::{Action, ForwardResult, ForwardedRequest};
@@ -28,7 +28,7 @@
     assert_eq!(
         restarted.handle_status::<()>(OTHER_INCARNATION, TicketStatus::NeverRan),
         Action::Finish(ForwardResult::MayHaveRun),
-        "the report of another incarnation"
+        "the status of another incarnation is used"
     );
     assert_eq!(
         forwarded.handle_status(FIRST_INCARNATION, TicketStatus::Completed(5)),
--- a/crates/gateway/tests/ticket/properties.rs
+++ b/crates/gateway/tests/ticket/properties.rs
@@ -1,18 +1,18 @@
-//! What holds in every state, and what happens in some.
+//! Properties that hold in every state, and properties that hold in some states.
 
 use crate::model::Gateway;
 use crate::world::{Outcome, Request, World};
 use stateright::Property;
 
-/// Holds in every state.
+/// Holds in every state, unless a safeguard is disabled.
 pub const EXECUTED_AT_MOST_ONCE: &str = "a request is executed at most once";
 
-/// The properties of some states, which show that the explored states are not all of one kind.
-pub const REACHABLE: [&str; 3] = [ALL_ANSWERED_BY_PEER, SETTLED_BY_FENCE, NOBODY_KNOWS];
+/// Properties that hold in some states, which show that the exploration reaches all kinds of outcomes.
+pub const REACHABLE: [&str; 3] = [ALL_ANSWERED_BY_PEER, SETTLED_BY_FENCE, EXECUTION_UNKNOWN];
 
 const ALL_ANSWERED_BY_PEER: &str = "the peer answers all requests";
 const SETTLED_BY_FENCE: &str = "after a fence the origin executes or rejects a request";
-const NOBODY_KNOWS: &str = "nobody knows whether a request was executed";
+const EXECUTION_UNKNOWN: &str = "it is unknown whether a request was executed";
 
 fn all_requests(world: &World, condition: impl Fn(&Request) -> bool) -> bool {
     world.requests.iter().all(condition)
@@ -63,14 +63,14 @@
     })
 }
 
-fn nobody_knows(_: &Gateway, world: &World) -> bool {
+fn execution_unknown(_: &Gateway, world: &World) -> bool {
     world
         .requests
         .iter()
         .any(|request| request.outcomes == [Outcome::MayHaveRun])
 }
 
-/// The properties that the checker examines.
+/// All properties that the checker examines.
 pub fn all() -> Vec<Property<Gateway>> {
     vec![
         Property::always(EXECUTED_AT_MOST_ONCE, executed_at_most_once),
@@ -84,6 +84,6 @@
         Property::always("the number of records is limited", records_are_limited),
         Property::sometimes(ALL_ANSWERED_BY_PEER, all_answered_by_peer),
         Property::sometimes(SETTLED_BY_FENCE, settled_by_fence),
-        Property::sometimes(NOBODY_KNOWS, nobody_knows),
+        Property::sometimes(EXECUTION_UNKNOWN, execution_unknown),
     ]
 }
--- a/crates/gateway/tests/ticket/store.rs
+++ b/crates/gateway/tests/ticket/store.rs
@@ -1,4 +1,4 @@
-//! The records of tickets at the peer.
+//! Tests of the records of tickets at the peer.
 
 use crate::{ticket, ticket_of, FIRST_INCARNATION, ORIGIN_INCARNATION, RETENTION};
 use reelfall_gateway::store::{Admission, TicketStore};
@@ -17,7 +17,7 @@
         Admission::Execute
     );
     assert_eq!(store.record_count(), 1);
-    // A request of the earlier incarnation is not executed, though its ticket has no record.
+    // A request of the earlier incarnation is not executed, although its ticket has no record.
     assert_eq!(
         store.admit(0, ticket(1), FIRST_INCARNATION),
         Admission::Reply(TicketStatus::Unknown)
--- a/crates/gateway/tests/ticket/world.rs
+++ b/crates/gateway/tests/ticket/world.rs
@@ -1,24 +1,24 @@
-//! The state that the model checker explores, and the steps that change it.
+//! The state of the model that the checker explores, and the steps that change it.
 
 use crate::message::{Message, ReportedStatus};
 use reelfall_gateway::forwarded::ForwardedRequest;
 use reelfall_gateway::store::TicketStore;
 use std::collections::BTreeMap;
 
-/// What the client received.
+/// The result that the client received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The peer's answer.
+    /// The peer's response.
     Answered,
-    /// A rejection: the request was never executed, and a retry is harmless.
+    /// A rejection: the request was never executed, so a retry is safe.
     Rejected,
-    /// The origin's answer: the request was never executed at the peer.
+    /// The origin's response: the request was never executed at the peer.
     ExecutedAtOrigin,
-    /// An error: nobody knows whether the request was executed.
+    /// An error: it is unknown whether the request was executed.
     MayHaveRun,
 }
 
-/// A request at the origin, and what became of it.
+/// A request at the origin, with its executions and its outcomes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
     pub forwarded: ForwardedRequest,
@@ -27,14 +27,14 @@
     pub executions_at_origin: u8,
 }
 
-/// How often each fault may happen.
+/// Maximum number of each kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FaultLimits {
-    /// Messages that are duplicated.
+    /// Number of duplicated messages.
     pub duplicates: u8,
-    /// Restarts of the peer.
+    /// Number of restarts of the peer.
     pub restarts: u8,
-    /// Times at which the records of ended requests expire.
+    /// How often the records of ended requests expire.
     pub expiries: u8,
 }
 
@@ -48,11 +48,11 @@
     pub incarnation: u64,
     /// The number of copies in flight of each message.
     pub network: BTreeMap<Message, u8>,
-    /// The requests that the peer executes.
+    /// The requests that the peer is executing.
     pub executing: Vec<u64>,
-    /// The faults that may still happen.
+    /// The remaining number of faults.
     pub remaining_faults: FaultLimits,
-    /// The status queries that the origin may still repeat.
+    /// The remaining number of repeated status queries.
     pub remaining_queries: u8,
 }
 
@@ -62,13 +62,13 @@
     Deliver(Message),
     Lose(Message),
     Duplicate(Message),
-    /// The link to the peer fails while the origin waits for the answer.
+    /// The link to the peer fails while the origin waits for the response.
     FailLink(u64),
     /// The origin repeats its status query.
     RepeatQuery(u64),
     /// The deadline of a request passes.
     PassDeadline(u64),
-    /// An execution at the peer ends, with an answer or without.
+    /// An execution at the peer ends, with or without a response.
     Complete {
         number: u64,
         is_answered: bool,
@@ -82,7 +82,7 @@
 }
 
 impl World {
-    /// The request of this number.
+    /// The request with this number.
     pub fn request_mut(&mut self, number: u64) -> &mut Request {
         &mut self.requests[number as usize]
     }
@@ -92,7 +92,7 @@
         *self.network.entry(message).or_default() += 1;
     }
 
-    /// The peer reports the status of a ticket.
+    /// Sends the status of a ticket from the peer.
     pub fn send_status(&mut self, number: u64, status: ReportedStatus) {
         self.send(Message::Status {
             number,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The peer stops to execute a request.
+    /// Removes a request from those that the peer is executing.
     pub fn stop_executing(&mut self, number: u64) {
         self.executing.retain(|executing| *executing != number);
     }
--- a/crates/graphql/src/media.rs
+++ b/crates/graphql/src/media.rs
@@ -151,8 +151,8 @@
         (GraphQlErrorKind::MediaType, _) => 415,
         (GraphQlErrorKind::NotAcceptable, _) => 406,
         (GraphQlErrorKind::Request, _) => 400,
-        // By the protocol of persisted queries, clients then send the document, whatever the status. Neither response
-        // is cached.
+        // By the protocol of persisted queries, clients then send the document, whatever the status. Caches store
+        // the response with neither status.
         (GraphQlErrorKind::PersistedQueryNotFound, _) => 200,
         // GraphQL over HTTP: a server SHOULD use 200 for a well-formed request, even if there are errors.
         (_, Media::Json) => 200,
