--- a/crates/node/src/net/shared/listed/tests.rs
+++ b/crates/node/src/net/shared/listed/tests.rs
@@ -1,4 +1,4 @@
-//! The count of listed servers against a walk over all lists.
+//! The count of listed servers, compared with an iteration over all lists.
 
 use crate::net::pool::{ListOrigin, Pool, PoolConfig};
 use crate::net::shared::Shared;
@@ -35,7 +35,7 @@
         seed: 1,
         list_origin,
         shared: shared.clone(),
-        member: None,
+        service_id: None,
     })
     .expect("a pool")
 }
@@ -70,14 +70,14 @@
     pool.update_endpoints(kind, endpoints);
 }
 
-async fn local(test: impl Future<Output = ()>) {
+async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The same draws in each run (splitmix64).
-struct SeededDraws(u64);
+/// Pseudo-random numbers (SplitMix64), the same in each run.
+struct TestRng(u64);
 
-impl SeededDraws {
+impl TestRng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -99,7 +99,7 @@
     }
 }
 
-/// A pool, and the starts of the servers that it was told of.
+/// A pool, and the start times of the servers in its list.
 struct FollowedPool {
     pool: Rc<Pool>,
     list_origin: ListOrigin,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The server instances that it names, by server and start; a list that is written by hand tells of no start.
+    /// The server instances in its list, as server and start time; a list in the settings states no start time.
     fn instances(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let start = |ready_at: Time| match self.list_origin {
             ListOrigin::Discovered => (ready_at * 1e3) as u64,
@@ -141,20 +141,20 @@
 }
 
 #[tokio::test]
-async fn the_count_that_is_kept_is_that_of_a_walk_over_all_lists() {
-    local(async {
-        let (shared, mut draws) = (shared(), SeededDraws(7));
+async fn server_count_matches_an_iteration_over_all_lists() {
+    run_local(async {
+        let (shared, mut rng) = (shared(), TestRng(7));
         let mut pools: Vec<FollowedPool> = Vec::new();
         for _ in 0..20_000 {
-            match draws.below(20) {
+            match rng.below(20) {
                 0 if pools.len() < 5 => {
                     let list_origin =
-                        [ListOrigin::Discovered, ListOrigin::Configured][draws.below(2) as usize];
+                        [ListOrigin::Discovered, ListOrigin::Configured][rng.below(2) as usize];
                     pools.push(FollowedPool::new(&shared, list_origin));
                 }
                 1 if !pools.is_empty() => {
-                    // Its timers hold it weakly: this is its end.
-                    pools.swap_remove(draws.below(pools.len() as u64) as usize);
+                    // Timers hold only weak references, so this drops the pool.
+                    pools.swap_remove(rng.below(pools.len() as u64) as usize);
                 }
                 n if !pools.is_empty() => {
                     let kind = if n < 5 {
@@ -162,35 +162,35 @@
                     } else {
                         UpdateKind::Delta
                     };
-                    let entries: Vec<Entry> = (0..draws.below(6)).map(|_| draws.entry()).collect();
-                    let pool = draws.below(pools.len() as u64) as usize;
+                    let entries: Vec<Entry> = (0..rng.below(6)).map(|_| rng.entry()).collect();
+                    let pool = rng.below(pools.len() as u64) as usize;
                     pools[pool].update_list(kind, &entries);
                 }
                 _ => {}
             }
-            let walked: BTreeSet<(u64, u64)> =
+            let counted: BTreeSet<(u64, u64)> =
                 pools.iter().flat_map(FollowedPool::instances).collect();
-            assert_eq!(shared.listed_server_count(), walked.len());
+            assert_eq!(shared.listed_server_count(), counted.len());
         }
         pools.clear();
         assert_eq!(
             shared.listed_server_count(),
             0,
-            "something is kept of pools that are gone"
+            "servers of dropped pools are still counted"
         );
     })
     .await;
 }
 
-/// A walk over so many servers for each of so many counts takes minutes; without a walk they take milliseconds.
+/// Iterating over this many servers for each count takes minutes; counting without an iteration takes milliseconds.
 const SERVERS: u64 = 5_000;
-const COUNTS: usize = 20_000;
-/// Far from both.
-const IN_TIME: Duration = Duration::from_secs(15);
+const COUNT_CALLS: usize = 20_000;
+/// Far from both durations, so that neither a slow machine nor a fast one changes the result.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 #[tokio::test]
-async fn a_count_does_not_walk_over_the_servers() {
-    local(async {
+async fn server_count_does_not_iterate_over_the_servers() {
+    run_local(async {
         let shared = shared();
         let pool = pool(&shared, ListOrigin::Discovered);
         let entry = |server| Entry {
@@ -200,10 +200,13 @@
         };
         let entries: Vec<Entry> = (0..SERVERS).map(entry).collect();
         update_list(&pool, UpdateKind::Snapshot, &entries);
-        let begun = Instant::now();
-        for _ in 0..COUNTS {
+        let started = Instant::now();
+        for _ in 0..COUNT_CALLS {
             assert_eq!(shared.listed_server_count(), entries.len());
-            assert!(begun.elapsed() < IN_TIME, "each count walks over the lists");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "each count iterates over the lists"
+            );
         }
     })
     .await;
