--- a/crates/registry-client/tests/session/reconnection.rs
+++ b/crates/registry-client/tests/session/reconnection.rs
@@ -24,8 +24,8 @@
     response_header(WATCH_EVENT_XID, zxid, NO_ERROR)
         .int(DATA_CHANGED)
         .int(CONNECTED)
-        .text("/x")
-        .done()
+        .string("/x")
+        .finish()
 }
 
 #[test]
@@ -39,13 +39,16 @@
     let events = take_events(&mut session);
     assert_eq!(
         events[1..],
-        [Event::Lost(LossReason::Closed), Event::RequestLost(9)]
+        [
+            Event::Disconnected(LossReason::Closed),
+            Event::RequestLost(9)
+        ]
     );
     assert!(
         !session.request(1.0, 1, sync("/")),
-        "a request without a connection"
+        "a request was accepted without a connection"
     );
-    // It connects to the next member at once, with the same session and the last transaction.
+    // The session connects to the next member at once, and sends its id and the last transaction id that it has seen.
     let commands = take_commands(&mut session);
     assert_eq!(commands.last(), Some(&Command::Close));
     session.tick(1.0);
@@ -62,7 +65,12 @@
         }
     );
     session.handle_bytes(1.0, &handshake_response(SESSION_ID));
-    assert_eq!(take_events(&mut session), [Event::Up { is_new: false }]);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Connected {
+            is_new_session: false
+        }]
+    );
     // The session ends only when the registry reports it as expired; then a new one is requested.
     session.handle_disconnected(2.0);
     session.tick(2.0);
@@ -71,7 +79,7 @@
     session.handle_bytes(2.0, &expired_response());
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Closed), Event::Expired]
+        [Event::Disconnected(LossReason::Closed), Event::Expired]
     );
     session.tick(2.0);
     session.handle_connected(2.0);
@@ -83,14 +91,19 @@
         }
     );
     session.handle_bytes(2.0, &handshake_response(NEXT_SESSION_ID));
-    assert_eq!(take_events(&mut session), [Event::Up { is_new: true }]);
+    assert_eq!(
+        take_events(&mut session),
+        [Event::Connected {
+            is_new_session: true
+        }]
+    );
     assert_eq!(session.id(), NEXT_SESSION_ID);
 }
 
 #[test]
-fn silent_member_is_left_and_pings_keep_an_idle_connection() {
+fn silent_member_is_disconnected_and_pings_keep_an_idle_connection() {
     const IDLE_INTERVALS: usize = 20;
-    // Two thirds of the session time-out, and rounding.
+    // Two thirds of the session time-out of 6 s, plus a margin for rounding.
     const MAX_SILENCE: f64 = 4.1;
     let mut session = connected_session(0.0);
     let mut now = 0.0;
@@ -101,26 +114,26 @@
         for command in take_commands(&mut session) {
             assert!(matches!(command, Command::Send(_)), "{command:?}");
             pings += 1;
-            session.handle_bytes(now + 0.01, &response_header(PING_XID, 5, NO_ERROR).done());
+            session.handle_bytes(now + 0.01, &response_header(PING_XID, 5, NO_ERROR).finish());
         }
     }
-    assert!(pings >= 19 && take_events(&mut session).is_empty() && session.is_up());
+    assert!(pings >= 19 && take_events(&mut session).is_empty() && session.is_connected());
     // A half-open connection: pings are sent, and no responses arrive.
     let last_response = now;
-    while session.is_up() {
+    while session.is_connected() {
         now = session.deadline().unwrap();
         session.tick(now);
     }
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Timeout)]
+        [Event::Disconnected(LossReason::Timeout)]
     );
     assert!(
         now - last_response <= MAX_SILENCE,
-        "left after {} s of a session of 6",
+        "disconnected after {} s with a session time-out of 6 s",
         now - last_response
     );
-    // A member that accepts the connection and does not answer the handshake is left too.
+    // A member that accepts the connection but does not respond to the handshake is disconnected too.
     take_commands(&mut session);
     session.tick(now);
     session.handle_connected(now);
@@ -128,7 +141,7 @@
     session.tick(now);
     assert_eq!(
         take_events(&mut session),
-        [Event::Lost(LossReason::Timeout)]
+        [Event::Disconnected(LossReason::Timeout)]
     );
 }
 
@@ -151,7 +164,11 @@
         now = next_attempt;
     }
     let first_round: BTreeSet<_> = attempts[..3].iter().collect();
-    assert_eq!(first_round.len(), 3, "each member once");
+    assert_eq!(
+        first_round.len(),
+        3,
+        "a member was tried twice in the first round"
+    );
     assert_eq!(delays[..2], [0.0, 0.0]);
     assert!(
         delays[3] > 0.0 && delays[29] > 2.0 && delays.iter().all(|delay| *delay <= 7.5),
@@ -160,7 +177,7 @@
 }
 
 #[test]
-fn older_state_is_accepted_only_after_no_member_has_the_newer() {
+fn older_state_is_accepted_only_after_a_reset() {
     const NEWER_ZXID: i64 = 100;
     const OLDER_ZXID: i64 = 99;
     const GIVE_UP: f64 = 200.0;
@@ -174,12 +191,13 @@
         events[1..],
         [
             Event::RequestLost(2),
-            Event::Lost(LossReason::Protocol(WireError::StaleState(
+            Event::Disconnected(LossReason::Protocol(WireError::StaleState(
                 OLDER_ZXID, NEWER_ZXID
             )))
         ]
     );
-    // Members that lag close the connection, until the session resets: it no longer requires the last transaction.
+    // Members that lag behind close the connection, until the session resets and no longer requires the last
+    // transaction.
     let mut now = 0.0;
     let mut reset_time = None;
     while reset_time.is_none() && now < GIVE_UP {
