--- a/crates/node/src/net/registry/follower.rs
+++ b/crates/node/src/net/registry/follower.rs
@@ -9,7 +9,7 @@
 use reelfall_balancer::settings::ListedEndpoint;
 use reelfall_config::model;
 use reelfall_registry_client::entry::Entry;
-use reelfall_registry_client::follow::{Follower, Limits, Report};
+use reelfall_registry_client::follow::{Follower, FollowerConfig, Report};
 use reelfall_registry_client::roster::Change;
 use reelfall_registry_client::session::{Event, LossReason, Session, TokenRequest};
 use std::collections::HashMap;
@@ -24,8 +24,8 @@
     pub access: RegistryAccess,
     /// The path whose children are the entries.
     pub path: String,
-    /// The limits on the size and age of the list.
-    pub limits: Limits,
+    /// How the entries are followed.
+    pub config: FollowerConfig,
     /// Servers that are assumed to be listed until the registry has been read.
     pub initial_servers: Vec<model::Located<model::Server>>,
 }
@@ -42,7 +42,7 @@
             pool.update_endpoints(UpdateKind::Cached, endpoints);
         }
         let clock = pool.shared.clock;
-        let follower = Follower::new(&self.path, self.limits, clock.now());
+        let follower = Follower::new(&self.path, self.config, clock.now());
         let user = RegistryFollower {
             pool,
             path: self.path,
@@ -141,7 +141,7 @@
     }
 
     fn record_contact(&mut self, session: &Session) {
-        if session.is_up() {
+        if session.is_connected() {
             self.follower.record_contact(session.last_received());
             self.pool
                 .source_last_contact
@@ -177,7 +177,9 @@
 impl SessionUser for RegistryFollower {
     fn handle_event(&mut self, now: Time, session: &Session, event: &Event) {
         match event {
-            Event::Lost(reason @ (LossReason::Protocol(_) | LossReason::BadCredentials)) => {
+            Event::Disconnected(
+                reason @ (LossReason::Protocol(_) | LossReason::BadCredentials),
+            ) => {
                 self.pool
                     .shared
                     .log
@@ -212,7 +214,7 @@
         while let Some(report) = self.follower.next_report() {
             self.log_report(&report);
         }
-        let drains_all_servers = self.follower.refuses_servers();
+        let drains_all_servers = self.follower.rejects_requests();
         let drained_all_servers =
             std::mem::replace(&mut self.drains_all_servers, drains_all_servers);
         let changes = self.follower.take_changes();
