--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,5 @@
-//! All hosted balancers, and the batches of lines. A batch begins with its time; its answer is complete at its end.
+//! All balancers of an adapter, and the batches of lines. The first line of a batch states its time; its output is complete
+//! with its last line.
 
 use crate::input::{InputError, Line, LineKind};
 use crate::instance::Instance;
@@ -6,27 +7,28 @@
 use reelfall_balancer::interface::{Action, Time};
 use std::collections::BTreeMap;
 
-/// How far the answer to a batch is.
+/// State of the current batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
     /// More lines of the batch follow.
     InBatch,
-    /// The answer to the batch is complete.
+    /// The batch has ended and its output is complete.
     BatchComplete,
 }
 
-/// All balancers that one adapter hosts.
+/// All balancers of one adapter.
 #[derive(Default)]
 pub(crate) struct Host {
+    /// The balancers, by the node numbers that the simulator assigns.
     instances: BTreeMap<u32, Instance>,
     /// The time of the current batch; `None` between batches.
     batch_time: Option<Time>,
-    /// Kept to reuse the allocation.
+    /// Buffer that is reused between events to save allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles one line and appends what is answered to it.
+    /// Handles one line and appends the output that it causes to `answer`.
     pub(crate) fn handle_line(
         &mut self,
         text: &str,
@@ -37,7 +39,7 @@
             Err(_) if is_of_unknown_kind(text) => return Ok(Progress::InBatch),
             Err(error) => return Err(error.into()),
         };
-        let kind = LineKind::parse(line.kind_word());
+        let kind = LineKind::parse(line.kind_keyword());
         let Some(now) = self.batch_time else {
             return self.start_batch(kind, &line);
         };
@@ -60,7 +62,7 @@
 
     fn start_batch(&mut self, kind: Option<LineKind>, line: &Line) -> Result<Progress, InputError> {
         if kind != Some(LineKind::BatchStart) {
-            return Err(InputError::OutsideBatch(line.kind_word().to_owned()));
+            return Err(InputError::OutsideBatch(line.kind_keyword().to_owned()));
         }
         self.batch_time = Some(line.time()?);
         Ok(Progress::InBatch)
@@ -85,7 +87,7 @@
         Ok(())
     }
 
-    /// Events of instances that are not hosted are ignored.
+    /// Passes an event to its balancer. Events for unknown balancers are ignored.
     fn handle_event(
         &mut self,
         now: Time,
@@ -106,7 +108,7 @@
     }
 }
 
-/// Whether a line that is not valid is of a kind of later versions, whatever its fields are.
+/// Whether an invalid line is of an unknown kind. Later protocol versions may add kinds with other fields.
 fn is_of_unknown_kind(text: &str) -> bool {
     matches!(LineKind::of_malformed(text), Ok(None))
 }
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -1,4 +1,4 @@
-//! The lines that come in. Their field names and words are those of the protocol; this is the only place that knows them.
+//! Parses input lines. Their field names and keywords are those of the protocol; no other module depends on them.
 
 use reelfall_balancer::interface::{LoadReport, Outcome, ServerState, Time, UpdateKind};
 use reelfall_balancer::settings::ListedEndpoint;
@@ -6,22 +6,22 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// Why a line can't be used.
+/// Why an input line was rejected.
 #[derive(Debug, Error)]
 pub enum InputError {
-    /// It is not the JSON object of its kind.
+    /// The line is not valid JSON, or a field has the wrong type.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
-    /// It comes before the first line of a batch.
+    /// The line is outside of a batch.
     #[error("`{0}` before `tick`")]
     OutsideBatch(String),
-    /// The first line of a batch comes inside another one.
+    /// A batch starts inside another one.
     #[error("`tick` inside a batch")]
     NestedBatch,
-    /// A field is missing that its kind needs.
+    /// A field that this kind of line requires is missing.
     #[error("field `{0}` is missing")]
     MissingField(&'static str),
-    /// It names a server that no list has named.
+    /// The server was in none of the endpoint lists received so far.
     #[error("unknown server")]
     UnknownServer,
     /// The kind of a list update is unknown.
@@ -49,9 +49,9 @@
     BatchStart,
     /// The last line of a batch.
     BatchEnd,
-    /// A balancer is to be hosted.
+    /// Creates a balancer.
     InstanceStart,
-    /// A balancer is not to be hosted any more.
+    /// Removes a balancer.
     InstanceEnd,
     EndpointUpdate,
     Request,
@@ -63,9 +63,9 @@
 }
 
 impl LineKind {
-    /// The kind with this word; `None` for kinds of later versions, which are ignored.
-    pub(crate) fn parse(word: &str) -> Option<Self> {
-        Some(match word {
+    /// Parses the keyword of a kind; `None` for an unknown one. Later protocol versions may add kinds, which are ignored.
+    pub(crate) fn parse(keyword: &str) -> Option<Self> {
+        Some(match keyword {
             "tick" => LineKind::BatchStart,
             "commit" => LineKind::BatchEnd,
             "power-on" => LineKind::InstanceStart,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// The kind of a line that is not necessarily a valid one.
+    /// The kind of a line whose other fields may be invalid.
     pub(crate) fn of_malformed(line: &str) -> Result<Option<Self>, serde_json::Error> {
         #[derive(Deserialize)]
         struct KindOnly<'a> {
@@ -128,7 +128,7 @@
 }
 
 impl Line<'_> {
-    pub(crate) fn kind_word(&self) -> &str {
+    pub(crate) fn kind_keyword(&self) -> &str {
         self.kind.as_str()
     }
 
@@ -220,7 +220,7 @@
         self.metrics.as_ref().map(Metrics::to_load_report)
     }
 
-    /// The tag of a timer; `None` for one that no balancer has set.
+    /// The tag of a timer; `None` if it is not a number, since no balancer sets such a timer.
     pub(crate) fn timer_tag(&self) -> Result<Option<u64>, InputError> {
         Ok(required(&self.tag, "tag")?.as_str().parse().ok())
     }
@@ -259,7 +259,7 @@
     }
 }
 
-/// A server's report of its load.
+/// A load report of a server.
 #[derive(Deserialize)]
 struct Metrics {
     active: Option<f64>,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,11 +1,11 @@
-//! One hosted balancer, with the names that it was given.
+//! One balancer, with the tables that map names in lines to its identifiers.
 
 use crate::input::{InputError, Line, LineKind};
 use reelfall_balancer::interface::{Action, ClassId, Event, ServerId, Time};
 use reelfall_balancer::settings::{self, stable_hash, NameRegistry, NameTable, SettingsError};
 use reelfall_balancer::Balancer;
 
-/// One hosted balancer.
+/// A balancer with its name tables.
 pub(crate) struct Instance {
     balancer: Balancer,
     names: NameRegistry,
@@ -18,12 +18,12 @@
         Ok(Instance { balancer, names })
     }
 
-    /// The names of the servers.
+    /// The table of server names.
     pub(crate) fn servers(&self) -> &NameTable {
         &self.names.servers
     }
 
-    /// Handles a line and appends the actions that follow.
+    /// Handles a line and appends the resulting actions.
     pub(crate) fn handle(
         &mut self,
         now: Time,
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// The event that a line stands for; `None` if it does not concern the balancer.
+    /// Converts a line to an event; `None` if there is nothing for the balancer to handle.
     fn event(&mut self, kind: LineKind, line: &Line) -> Result<Option<Event>, InputError> {
         Ok(Some(match kind {
             LineKind::EndpointUpdate => Event::EndpointUpdate {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,11 +1,12 @@
-//! The decision module on the simulator's wire: JSON lines on standard input and output. No decision is made here.
+//! Adapter between the decision module and a simulator, which sends and receives JSON lines over standard input and output.
+//! It only translates lines; [`reelfall_balancer`] makes all decisions.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `input` | the lines that come in, with the field names of the protocol, and the events that they stand for |
-//! | `output` | the lines that go out |
-//! | `instance` | one hosted balancer, with the names that it was given |
-//! | `host` | all hosted balancers, and the batches of lines |
+//! | `input` | parses input lines |
+//! | `output` | formats output lines |
+//! | `instance` | one balancer with its name tables; converts lines to events |
+//! | `host` | all balancers, and the batches of lines |
 
 mod host;
 mod input;
@@ -17,32 +18,32 @@
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// An error that stops the adapter, with the line at which it occurred.
 #[derive(Debug, Error)]
 #[error("line {line}: {cause}")]
 pub struct AdapterError {
-    /// The number of the line, from 1.
+    /// Line number, starting at 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// The cause.
     #[source]
     pub cause: LineError,
 }
 
-/// What is wrong with a line.
+/// Why a line could not be processed.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// It could not be read, or the answer to it could not be written.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is no line of the protocol.
+    /// The line does not conform to the protocol.
     #[error(transparent)]
     Input(#[from] InputError),
 }
 
-/// Speaks the wire until the input ends.
+/// Processes lines until the end of the input, and writes the output of each batch.
 ///
 /// # Errors
-/// If a line can't be used, or the input or the output fails.
+/// If a line is invalid, or if reading or writing fails.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
@@ -64,7 +65,7 @@
     Ok(())
 }
 
-/// Reads and handles one line; returns whether there was one. The answer to a batch is written at its end.
+/// Reads and handles one line; returns `false` at the end of the input. Output is written at the end of each batch.
 fn serve_line(
     input: &mut impl BufRead,
     output: &mut impl Write,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts balancers on the line wire: standard input to standard output.
+//! Runs the adapter on standard input and standard output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/output.rs
+++ b/crates/simulator-adapter/src/output.rs
@@ -1,4 +1,4 @@
-//! The lines that go out. Numbers are printed with six decimals, as the simulator expects them.
+//! Formats output lines. Durations are printed with six decimals, as the simulator expects them.
 
 use reelfall_balancer::interface::Action;
 use reelfall_balancer::settings::NameTable;
@@ -36,21 +36,21 @@
         Action::HealthCheck { server } => format!("\"server\":{}", name(server)),
         Action::StartTimer { after, tag } => format!("\"after\":{after:.6},\"tag\":\"{tag}\""),
     };
-    write_line(output, word(action), instance, &fields);
+    write_line(output, keyword(action), instance, &fields);
 }
 
-/// Appends the line for an instance whose settings can't be used.
+/// Appends the line that reports that an instance was not created, and why.
 pub(crate) fn write_refusal(output: &mut Vec<u8>, instance: u32, reason: &str) {
     let fields = format!("\"reason-text\":{}", quoted(reason));
     write_line(output, "bail-out", instance, &fields);
 }
 
-/// Appends the last line of the answer to a batch.
+/// Appends the line that ends the output of a batch.
 pub(crate) fn write_batch_end(output: &mut Vec<u8>) {
     output.extend_from_slice(b"{\"what\":\"end\"}\n");
 }
 
-fn word(action: &Action) -> &'static str {
+fn keyword(action: &Action) -> &'static str {
     match action {
         Action::Attempt { .. } => "attempt",
         Action::Reject { .. } => "say-no",
@@ -62,11 +62,11 @@
     }
 }
 
-fn write_line(output: &mut Vec<u8>, word: &str, instance: u32, fields: &str) {
+fn write_line(output: &mut Vec<u8>, keyword: &str, instance: u32, fields: &str) {
     // Writing to a Vec can't fail.
     let _ = writeln!(
         output,
-        "{{\"what\":\"{word}\",\"node\":{instance},{fields}}}"
+        "{{\"what\":\"{keyword}\",\"node\":{instance},{fields}}}"
     );
 }
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter's protocol, on lines of input.
+//! The adapter's line protocol: batches, unknown events, and invalid input.
 
 use reelfall_simulator_adapter::serve;
 
@@ -7,9 +7,9 @@
 /// The line that ends a batch of output.
 const END: &str = r#"{"what":"end"}"#;
 
-/// What the adapter does on an input.
+/// The result of running the adapter on an input.
 struct Output {
-    /// The text of the error that ended it.
+    /// The message of the error that stopped the adapter.
     error: Option<String>,
     lines: Vec<String>,
 }
