--- a/crates/emulator/examples/decision.rs
+++ b/crates/emulator/examples/decision.rs
@@ -1,5 +1,5 @@
-//! What lists of several lengths cost the decision module: a fresh list, one request from its arrival to its answer, and
-//! then an update in which a tenth of the servers have restarted.
+//! Measures the processor time of the decision module for endpoint lists of several lengths: for the initial list, for a
+//! request from its arrival to its answer, and for an update in which a tenth of the servers have restarted.
 //!
 //! `cargo run --release -p reelfall-emulator --example decision [LENGTH...]`
 
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Lengths of lists, if none are given.
+/// Default lengths of lists.
 const DEFAULT_LENGTHS: [u32; 4] = [10, 60, 300, 1000];
-/// Maximum number of requests for a length.
+/// Maximum number of requests for each length.
 const MAX_REQUESTS: u32 = 50_000;
-/// Minimum number of requests for a length.
+/// Minimum number of requests for each length.
 const MIN_REQUESTS: u32 = 2_000;
-/// Bound on the number of requests times the length.
+/// Maximum product of the number of requests and the length, if that permits [`MIN_REQUESTS`].
 const REQUESTS_TIMES_LENGTH: u32 = 50_000_000;
 /// Interval between two requests, in seconds.
 const REQUEST_INTERVAL: Time = 0.01;
@@ -31,12 +31,12 @@
 const WORK_HINT: f64 = 0.02;
 /// Number of classes in [`SETTINGS`].
 const CLASSES: u32 = 2;
-/// One of this many servers has restarted.
+/// One in this many servers has restarted.
 const RESTARTED_STEP: usize = 10;
-/// The seed of the decision module.
+/// Seed of the decision module's random numbers.
 const SEED: u64 = 7;
 
-/// The fourth of a hundred nodes that receive 20 requests per second each.
+/// Settings of the fourth of 100 nodes that receive 20 requests per second each.
 const SETTINGS: &str = r#"{"categories":[
     {"name":"read","promise":0.2,"deadline":0.6,"worth":1.0,"late-value":0.3,"effect":"idempotent"},
     {"name":"write","promise":0.2,"deadline":0.6,"worth":1.0,"late-value":0.3,"effect":"at_most_once"}],
@@ -46,13 +46,13 @@
 /// Why nothing was measured.
 #[derive(Error)]
 enum DecisionError {
-    #[error("lengths are whole numbers: {0}")]
+    #[error("invalid list length: {0}")]
     Length(ParseIntError),
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// `main` prints its error so.
+/// `main` prints its error with this format.
 impl fmt::Debug for DecisionError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Updates the endpoint list; how long the module took.
+/// Updates the endpoint list; returns how long the decision module took.
 fn update(
     balancer: &mut Balancer,
     now: Time,
@@ -132,9 +132,9 @@
 
 /// The requests for one length.
 struct Requests {
-    /// The time of the last one.
+    /// The time at which the last request arrived.
     end: Time,
-    /// Mean processor time of one.
+    /// Mean time that the decision module took for a request.
     mean_microseconds: f64,
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-/// A request from its arrival to its answer, by the first attempt.
+/// Runs a request that is served by its first attempt.
 fn run_request(balancer: &mut Balancer, now: Time, request: RequestId, actions: &mut Vec<Action>) {
     actions.clear();
     let arrival = Event::Request {
--- a/crates/emulator/examples/fleet.rs
+++ b/crates/emulator/examples/fleet.rs
@@ -1,5 +1,7 @@
-//! Runs the project's plans for several sizes and seeds and prints their figures, one line for each, and the first violation
-//! of each run. `cargo run --release -p reelfall-emulator --example fleet -- [seeds] [nodes...]`
+//! Runs the plans of [`scenario`] with faulty servers for several sizes and seeds, with and without subsetting. Prints a line
+//! with the mean figures of each, and the first violation of each run.
+//!
+//! `cargo run --release -p reelfall-emulator --example fleet -- [seeds] [nodes...]`
 
 use reelfall_emulator::report::Second;
 use reelfall_emulator::world::PlanError;
@@ -8,18 +10,18 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Seeds, if none are given.
+/// Default number of seeds.
 const DEFAULT_SEEDS: usize = 3;
-/// Numbers of nodes, if none are given.
+/// Default numbers of nodes.
 const DEFAULT_SIZES: [usize; 3] = [10, 100, 300];
 /// Fraction of the servers that are faulty.
 const FAULTY_FRACTION: f64 = 0.1;
-/// Length of the worst window, in seconds.
+/// Length of the window of the worst earned fraction, in seconds.
 const WORST_WINDOW: usize = 5;
-/// Mean work of an attempt, in seconds on a standard core.
+/// Assumed mean work of an attempt, in seconds on a standard core.
 const MEAN_WORK: f64 = 0.032;
 
-/// Why a plan was not run.
+/// Why the example failed.
 #[derive(Error)]
 enum FleetError {
     #[error("{argument}: {error}")]
@@ -31,7 +33,7 @@
     Plan(#[from] PlanError),
 }
 
-/// `main` prints its error so.
+/// `main` prints its error with this format.
 impl fmt::Debug for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -48,13 +50,13 @@
     if sizes.is_empty() {
         sizes.extend(DEFAULT_SIZES);
     }
-    println!("plan                        nodes parts  whole worst5 dials/r repeats/r to-dead% past% pushed broken");
+    println!("plan                        nodes subset total worst5 conns/r retries/r  unresp% long%  load violations");
     for nodes in sizes {
         for plan in [
-            scenario::calm,
-            scenario::herd,
-            scenario::zone,
-            scenario::join,
+            scenario::undisturbed,
+            scenario::mass_kill,
+            scenario::zone_loss,
+            scenario::server_replacement,
         ] {
             for is_subsetting_disabled in [false, true] {
                 run_seeds(plan, nodes, seeds, is_subsetting_disabled)?;
@@ -70,7 +72,7 @@
         .map_err(|error| FleetError::Argument { argument, error })
 }
 
-/// Runs a plan with all seeds and prints the means.
+/// Runs a plan with all seeds and prints the mean figures.
 fn run_seeds(
     plan: fn(usize, u64) -> Plan,
     nodes: usize,
@@ -119,13 +121,13 @@
         .for_each(|violation| println!("    {violation}"));
 }
 
-/// Percentage of the attempts that were sent to unresponsive servers.
+/// Percentage of attempts that were sent to unresponsive servers.
 fn percent_to_unresponsive(report: &Report) -> f64 {
     let attempts = f64::from(report.sum(|second| second.attempts).max(1));
     100.0 * f64::from(report.sum(|second| second.to_unresponsive)) / attempts
 }
 
-/// Percentage of the work that was sent to servers with a long queue.
+/// Percentage of work that was sent to servers with a long queue.
 fn percent_to_long_queues(report: &Report) -> f64 {
     let work = |second: &Second| f64::from(second.attempts) * MEAN_WORK;
     100.0 * report.work_to_long_queues() / report.seconds.iter().map(work).sum::<f64>()
--- a/crates/emulator/examples/scale/baseline.rs
+++ b/crates/emulator/examples/scale/baseline.rs
@@ -1,4 +1,4 @@
-//! What full snapshots cost at the target and at the size of a run, by formulas. `control` prints it beside its scenarios.
+//! Computes the cost of distribution by full snapshots at the target size and at the size of a run, by formulas.
 
 use super::target::{size, CHANGES_PER_DAY};
 use reelfall_emulator::control::account::Usage;
@@ -13,7 +13,7 @@
 /// Interval at which a node polls for whole endpoint lists, in seconds.
 const LIST_INTERVAL: f64 = 60.0;
 
-/// A system whose costs are printed.
+/// A size and rate of changes for which the cost is computed.
 struct Case {
     size_name: &'static str,
     size: ConfigurationSize,
@@ -22,9 +22,9 @@
     rate_factor: f64,
 }
 
-/// Prints the costs of full snapshots, and returns them as runs.
+/// Prints the costs of full snapshots and returns them as runs.
 pub fn runs(sizes: Sizes) -> Vec<Run> {
-    println!("whole copies, by formulas:");
+    println!("full snapshots, by formulas:");
     cases(sizes).iter().map(|case| run(case, sizes)).collect()
 }
 
@@ -70,7 +70,7 @@
         ..snapshots
     };
     println!(
-        "    {size_name}, {rate_name}: {:.1} MB a change, {:.0} B/s a node; in force {}, with the newest file alone and no lists {}",
+        "    {size_name}, {rate_name}: {:.1} MB per change, {:.0} B/s per node; apply time {}, with coalesced changes and no endpoint lists {}",
         snapshots.bytes_per_change() / 1e6,
         snapshots.bandwidth_demand(),
         describe(snapshots.apply_time()),
--- a/crates/emulator/examples/scale/control.rs
+++ b/crates/emulator/examples/scale/control.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the distribution of configuration over the target's control machines, and beside them what full snapshots
-//! would cost.
+//! Runs scenarios of configuration distribution with the control machines of the target system, and compares them with the
+//! cost of full snapshots.
 
 use super::error::ScaleError;
 use super::report::{print, resident_memory, thread_cpu};
@@ -16,7 +16,7 @@
 use reelfall_emulator::control::topology::Scope;
 use reelfall_emulator::control::world::{links, Ages, World};
 
-/// Restarts of servers per second, if a day's 18,000 are within two hours.
+/// Server restarts per second if the 18,000 of a day occur within two hours.
 const RESTARTS_PER_SECOND: f64 = 18_000.0 / 7_200.0;
 /// A region with more than a quarter of the nodes.
 const REGION: u16 = 0;
@@ -24,46 +24,46 @@
 const ZONE: u16 = 1;
 /// A region without the publisher that holds the lease.
 const FAR_REGION: u16 = 3;
-/// Number of nodes that receive requests of tenants, spread over all nodes.
+/// Number of nodes that receive requests of tenants, spread evenly over all nodes.
 const TENANT_NODES: usize = 60;
-/// How long requests of tenants arrive, in seconds.
+/// Duration of the requests of tenants, in seconds.
 const TENANT_SECONDS: f64 = 10.0;
-/// Requests per second at each node of the target: 1,700,000 over 6,000 nodes. If all were first requests of tenants, this
-/// many would wait.
+/// Requests per second at each node of the target system: 1,700,000 over 6,000 nodes. It bounds the rate of first requests of
+/// tenants.
 const REQUESTS_PER_SECOND: f64 = 283.0;
 
-/// Number of violations that are printed for a scenario.
+/// Maximum number of violations that are printed for a scenario.
 const PRINTED_VIOLATIONS: usize = 5;
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
     output: Output,
-    /// Nodes of the fleet.
+    /// Number of nodes.
     #[arg(long, default_value_t = Sizes::TARGET.nodes)]
     nodes: u32,
-    /// Machines that can write.
+    /// Number of publishers.
     #[arg(long, default_value_t = Sizes::TARGET.publishers)]
     authors: u32,
-    /// Machines that serve nodes.
+    /// Number of relays.
     #[arg(long, default_value_t = Sizes::TARGET.relays)]
     relays: u32,
-    /// Routes that are resources of their own.
+    /// Number of routes that are separate resources.
     #[arg(long, default_value_t = 0)]
     routes: u32,
-    /// Tenants that are resources.
+    /// Number of tenants that are separate resources.
     #[arg(long, default_value_t = 0)]
     tenants: u32,
-    /// Lets clocks run between the bounds that the distribution allows, and compares the ages that nodes state.
+    /// Let clocks drift within the permitted bounds, and check the staleness that nodes report.
     #[arg(long)]
     drift: bool,
-    /// What is played, in this order.
+    /// Scenarios to run, in this order.
     #[arg(long, value_delimiter = ',', default_values_t = ["day", "ten-days", "burst", "one-resource", "back", "region", "relay", "rack", "zone", "half", "author", "apart"].map(str::to_owned))]
     plays: Vec<String>,
-    /// How long steady rates are played, in seconds.
+    /// Duration of scenarios with a constant rate of changes, in seconds.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
-    /// How long regions are apart, in seconds.
+    /// Duration of the partition of a region, in seconds.
     #[arg(long, default_value_t = 120.0)]
     apart: f64,
 }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// How this system differs from the default, for the names of its runs.
+    /// How this system differs from the default, as a prefix of the titles of its runs.
     fn variant(&self) -> String {
         let mut variant = String::new();
         if self.routes + self.tenants > 0 {
@@ -107,7 +107,7 @@
     let drift = if arguments.drift { DRIFT } else { 0.0 };
     let mut world = World::with_drift(sizes, links(), arguments.output.seed, drift)?;
     println!(
-        "all relays have all {} resources after {:.0} s",
+        "all relays have received all {} resources after {:.0} s",
         sizes.resources().count(),
         world.network.now()
     );
@@ -119,7 +119,7 @@
     let start = scenarios::start_all(&mut world);
     let memory = (resident_memory() - loaded) / f64::from(arguments.nodes);
     println!(
-        "memory, with what stands for the disks: {:.1} MB a control machine, {:.3} MB a node",
+        "memory, including emulated disks: {:.1} MB per control machine, {:.3} MB per node",
         control_memory / 1e6,
         memory / 1e6
     );
@@ -132,7 +132,7 @@
         print_outcome(&outcome, &run);
         runs.push(run);
     }
-    println!("not delivered: {:?}", world.network.undelivered());
+    println!("undelivered frames: {:?}", world.network.undelivered());
     if sizes == Sizes::TARGET {
         runs.extend(baseline::runs(sizes));
     }
@@ -195,7 +195,7 @@
     })
 }
 
-/// Every other control machine, with the publisher that holds the lease.
+/// Half of the control machines, including the publisher that holds the lease.
 fn half_of_control_machines(world: &World) -> Vec<u32> {
     let all: Vec<u32> = world.layout.control_machines().collect();
     let others = all
@@ -206,7 +206,7 @@
     world.leader().into_iter().chain(others).collect()
 }
 
-/// Nodes that receive requests of tenants.
+/// The nodes that receive requests of tenants.
 fn tenant_nodes(world: &World) -> Vec<u32> {
     let nodes = world.layout.nodes();
     let step = (nodes.len() / TENANT_NODES).max(1);
@@ -237,16 +237,16 @@
         ..
     } = outcome.control;
     println!(
-        "    control machines: in {bytes_in:.0} B/s, out {bytes_out:.0} B/s, cpu {:.2} %; {} of the changes' nodes without them; faults {}",
+        "    control machines: in {bytes_in:.0} B/s, out {bytes_out:.0} B/s, cpu {:.2} %; {} missing changes at nodes; {} violations",
         cpu * 100.0,
         outcome.missing,
         outcome.violation_count,
     );
     if let Some(Times { p50, p99, last }) = outcome.catch_up_times {
-        println!("    had all again: p50 {p50:.2} p99 {p99:.2} last {last:.2} s");
+        println!("    catch-up time: p50 {p50:.2} p99 {p99:.2} max {last:.2} s");
     }
     if let Some(ages) = outcome.ages {
-        println!("    ages: {ages:?}");
+        println!("    staleness: {ages:?}");
     }
     outcome
         .violations
--- a/crates/emulator/examples/scale/error.rs
+++ b/crates/emulator/examples/scale/error.rs
@@ -1,4 +1,4 @@
-//! Why a scale run failed. `main` prints it.
+//! Errors of scale runs.
 
 use reelfall_emulator::control::layout::LayoutError;
 use reelfall_emulator::control::world::WorldError;
@@ -8,24 +8,24 @@
 /// Why a scale run failed.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// The world can't be made.
+    /// The world could not be created.
     #[error(transparent)]
     World(#[from] WorldError),
-    /// The system can't be placed.
+    /// The endpoints can't be placed.
     #[error(transparent)]
     Layout(#[from] LayoutError),
     /// There is no scenario of this name.
-    #[error("there is no play {0}")]
+    #[error("there is no scenario {0}")]
     UnknownScenario(String),
-    /// Nodes that were introduced to all others do not know all of them.
-    #[error("{0} nodes don't know all others")]
+    /// This many nodes do not know all others although they were introduced to them.
+    #[error("{0} nodes do not know all others")]
     IncompleteMembership(usize),
     /// A report can't be read or written.
     #[error("{}: {error}", path.display())]
     File {
         /// The file of the report.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// A report can't be parsed.
@@ -33,13 +33,13 @@
     Parse {
         /// The file of the report.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: serde_json::Error,
     },
-    /// A report can't be appended to.
-    #[error("{}: of another schema, seed or commit", .0.display())]
+    /// Runs can't be appended to a report, since it is of another schema version, seed or commit.
+    #[error("{}: report has a different schema version, seed or commit", .0.display())]
     Mismatch(PathBuf),
-    /// A report can't be written as JSON.
+    /// A report can't be serialized.
     #[error(transparent)]
     Serialize(#[from] serde_json::Error),
 }
--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -1,4 +1,4 @@
-//! The memory that a publisher, a relay and a node take for all resources of the target.
+//! Measures the memory of a publisher, a relay and nodes of the target system.
 
 use super::error::ScaleError;
 use super::report::resident_memory;
@@ -13,13 +13,13 @@
 pub struct Arguments {
     #[command(flatten)]
     output: Output,
-    /// Routes that are resources of their own.
+    /// Number of routes that are separate resources.
     #[arg(long, default_value_t = Sizes::TARGET_ROUTES)]
     routes: u32,
-    /// Tenants that are resources.
+    /// Number of tenants that are separate resources.
     #[arg(long, default_value_t = Sizes::TARGET_TENANTS)]
     tenants: u32,
-    /// Tenants that a node has, from the least to the greatest.
+    /// Numbers of tenants of the measured nodes, in ascending order.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 1_000, 16_000])]
     held: Vec<u32>,
 }
@@ -33,7 +33,8 @@
         tenants,
         ..Sizes::TARGET
     })?;
-    // Memory is measured as the growth of the process, so all machines are retained, from the smallest on.
+    // Memory is measured as the growth of the process. All machines are retained and the smallest is measured first, so that
+    // no measurement reuses freed memory.
     let mut retained = Vec::new();
     let mut runs = Vec::new();
     for held in &arguments.held {
--- a/crates/emulator/examples/scale/main.rs
+++ b/crates/emulator/examples/scale/main.rs
@@ -1,5 +1,5 @@
-//! What the control side costs each node of a large fleet, in virtual time. Figures are printed, and appended to a
-//! report of the same types as the scale runs of the capacity package.
+//! Measures the cost of the control plane for each node of a large fleet, in virtual time. Results are printed, and appended
+//! to a report in the format that the scale runs of the capacity package use.
 //!
 //! `cargo run --release -p reelfall-emulator --example scale -- members --nodes 1500 --out docs/measurements/scale/virtual.json`
 
@@ -27,28 +27,28 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A fleet of nodes that know each other: at rest, and while servers are banned.
+    /// Membership of a fleet whose nodes initially know each other: at rest and while servers are banned.
     Members(members::Arguments),
-    /// A fleet whose nodes have found each other by themselves: at rest, by how long it has been left alone.
+    /// Membership of a fleet whose nodes have to discover each other: at rest, by time since then.
     Quiet(quiet::Arguments),
-    /// Distribution of configuration by publishers and relays, and beside it what whole copies would cost.
+    /// Configuration distribution by publishers and relays, compared with full snapshots.
     Control(control::Arguments),
-    /// What a publisher, a relay and a node hold in memory of all that the target has.
+    /// Memory of a publisher, a relay and nodes with the resources of the target system.
     Holdings(holdings::Arguments),
-    /// One node's memory, and what it takes for new of what it has heard before, for numbers of peers.
+    /// Memory of a node, and whether it rejects replayed datagrams, by number of peers.
     Tables(tables::Arguments),
 }
 
-/// Where figures go.
+/// Options of the report.
 #[derive(Args)]
 struct Output {
-    /// A report to which runs are appended.
+    /// File of a report to which runs are appended.
     #[arg(long)]
     out: Option<PathBuf>,
     /// The commit that is measured.
     #[arg(long, default_value = "unknown")]
     commit: String,
-    /// The seed of all draws.
+    /// The seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -71,7 +71,7 @@
 }
 
 impl Output {
-    /// Appends runs to the report, if one was asked for.
+    /// Appends runs to the report, if a file was given.
     fn write(&self, runs: Vec<Run>) -> Result<(), ScaleError> {
         let Some(path) = &self.out else { return Ok(()) };
         let mut report = report::open(path, &self.commit, self.seed)?;
--- a/crates/emulator/examples/scale/members.rs
+++ b/crates/emulator/examples/scale/members.rs
@@ -1,4 +1,5 @@
-//! A fleet whose nodes know each other: what membership costs at rest, and how fast bans and the loss of a zone are detected.
+//! Measures membership of a fleet whose nodes initially know each other: the cost at rest, the dissemination of bans, and the
+//! detection of the loss of a zone.
 
 use super::error::ScaleError;
 use super::report::{print, resident_memory, thread_cpu};
@@ -12,34 +13,34 @@
 use reelfall_emulator::control::topology::{Scope, Topology, TARGET_ZONES};
 use std::rc::Rc;
 
-/// How long a ban is waited for, in seconds; also the time that counts for a node that has not received it.
+/// How long each ban may take to be received, in seconds; also the time recorded for nodes that have not received it.
 const BAN_TIMEOUT: f64 = 5.0;
-/// How long the loss of a zone may take to be detected, in seconds.
+/// How long to wait for all nodes to detect the loss of a zone, in seconds.
 const DETECTION_TIMEOUT: f64 = 120.0;
-/// All nodes start within this time, in seconds.
+/// Time within which all nodes have started and know each other, in seconds.
 const START_SECONDS: f64 = 1.5;
 /// How long the fleet settles before it is measured, in seconds.
 const SETTLE_SECONDS: f64 = 10.0;
-/// The zone that is lost.
+/// Index of the zone that is lost.
 const LOST_ZONE: u16 = 5;
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
     output: Output,
-    /// Nodes of the fleet.
+    /// Number of nodes.
     #[arg(long)]
     nodes: u32,
-    /// How long the fleet is left alone, in seconds.
+    /// Duration of the measurement at rest, in seconds.
     #[arg(long, default_value_t = 20.0)]
     quiet: f64,
-    /// Servers that are banned, one after the other.
+    /// Number of servers that are banned, one after the other.
     #[arg(long, default_value_t = 5)]
     bans: u32,
-    /// Ends the nodes of a zone at last.
+    /// Kill the nodes of a zone at the end.
     #[arg(long)]
     zone: bool,
-    /// Fraction of datagrams that are lost on all links, in place of the links' own.
+    /// Loss rate of all links, instead of the default ones.
     #[arg(long)]
     loss: Option<f64>,
 }
@@ -51,17 +52,17 @@
     } = start_fleet(arguments)?;
     network.run(SETTLE_SECONDS);
     let mut runs = vec![
-        quiet(&mut network, arguments, memory),
-        bans(&mut network, arguments, memory),
+        measure_at_rest(&mut network, arguments, memory),
+        measure_bans(&mut network, arguments, memory),
     ];
     if arguments.zone {
         runs.extend(zone_lost(&mut network, arguments, memory));
     }
-    println!("not delivered: {:?}", network.undelivered());
+    println!("undelivered datagrams: {:?}", network.undelivered());
     arguments.output.write(runs)
 }
 
-/// A fleet whose nodes know each other.
+/// A running fleet whose nodes know each other.
 struct StartedFleet {
     network: Network<Member>,
     /// Memory of one node, in bytes.
@@ -109,12 +110,12 @@
         .sum()
 }
 
-fn quiet(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
+fn measure_at_rest(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
     let before = declared_dead(network);
     network.reset_accounts();
     network.run(arguments.quiet);
     println!(
-        "at rest for {} s: {} times one was wrongly taken for gone",
+        "at rest for {} s: {} running nodes falsely declared dead",
         arguments.quiet,
         declared_dead(network) - before
     );
@@ -128,7 +129,7 @@
     )
 }
 
-fn bans(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
+fn measure_bans(network: &mut Network<Member>, arguments: &Arguments, memory: f64) -> Run {
     let before = unproven_verdicts(network);
     let started_at = network.now();
     network.reset_accounts();
@@ -151,7 +152,7 @@
         times.extend(delays.into_iter().map(|delay| delay.unwrap_or(BAN_TIMEOUT)));
     }
     println!(
-        "{} bans: {missed} times a node had not heard of one after {BAN_TIMEOUT} s; {} verdicts left without proof of age",
+        "{} bans: {missed} not received by a node within {BAN_TIMEOUT} s; {} verdicts ignored without proof of age",
         arguments.bans,
         unproven_verdicts(network) - before,
     );
@@ -179,7 +180,7 @@
     };
     let took = network.run_until(DETECTION_TIMEOUT, 1.0, all_know);
     println!(
-        "a zone of {} nodes ends: all others know after {took:?} s",
+        "a zone of {} nodes is lost: all others have detected it after {took:?} s",
         zone.len()
     );
     let last = took?;
--- a/crates/emulator/examples/scale/quiet.rs
+++ b/crates/emulator/examples/scale/quiet.rs
@@ -1,4 +1,4 @@
-//! What a fleet costs at rest whose nodes have discovered each other, by the time since then, and what its datagrams contain.
+//! Measures the cost and the contents of membership datagrams at rest, by time since all nodes have discovered each other.
 
 use super::error::ScaleError;
 use super::report::resident_memory;
@@ -11,17 +11,17 @@
 use reelfall_emulator::control::report::{PerNode, Run, Size, Source};
 use reelfall_emulator::inspect::{DatagramStats, Inspector};
 
-/// How long nodes may take to discover each other, in seconds.
+/// How long to wait for nodes to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 60.0;
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
     output: Output,
-    /// Nodes of the fleet.
+    /// Number of nodes.
     #[arg(long, default_value_t = 1_500)]
     nodes: usize,
-    /// When windows begin, in seconds after all know each other.
+    /// Starts of the measured windows, in seconds after all nodes know each other.
     #[arg(long, value_delimiter = ',', default_values_t = [10.0, 30.0, 60.0, 120.0])]
     settle: Vec<f64>,
     /// Length of each window, in seconds.
@@ -45,21 +45,21 @@
         if begin > cluster.now {
             cluster.run(begin - cluster.now);
         }
-        let (before, gone) = (seen(&cluster), cluster.false_positives);
+        let (before, false_positives) = (stats(&cluster), cluster.false_positives);
         cluster.run(arguments.window);
-        let contents = seen(&cluster).since(&before);
+        let contents = stats(&cluster).since(&before);
         print_window(arguments, *settle, contents);
         println!(
-            "    {}; {} times one was wrongly taken for gone",
+            "    {}; {} running nodes falsely declared dead",
             knowledge(&cluster),
-            cluster.false_positives - gone
+            cluster.false_positives - false_positives
         );
         runs.push(run(arguments, *settle, contents, memory));
     }
     arguments.output.write(runs)
 }
 
-/// A fleet whose nodes all begin at once and have found each other.
+/// Starts all nodes at once, and runs until they have discovered each other or the time limit is reached.
 fn join(arguments: &Arguments) -> Cluster {
     let expected_nodes = arguments.nodes as u32;
     let config = move |_| Config {
@@ -77,29 +77,29 @@
     cluster
 }
 
-fn seen(cluster: &Cluster) -> DatagramStats {
+fn stats(cluster: &Cluster) -> DatagramStats {
     cluster
         .inspector
         .as_ref()
         .map_or_else(DatagramStats::default, |inspector| inspector.stats)
 }
 
-/// How many pairs of nodes know each other.
+/// Describes how many pairs of nodes know each other.
 fn knowledge(cluster: &Cluster) -> String {
     let nodes = cluster.processes.len();
     let known: usize = (0..nodes).map(|node| cluster.member_count(node)).sum();
     format!("{known} of {} pairs know each other", nodes * (nodes - 1))
 }
 
-/// So many, for each node and second of a window.
+/// Converts a count within a window to a rate per node and second.
 fn rate(arguments: &Arguments, count: u64) -> f64 {
     count as f64 / (arguments.nodes as f64 * arguments.window)
 }
 
 fn print_window(arguments: &Arguments, settle: f64, contents: DatagramStats) {
     println!(
-        "{settle:>6.0} to {:.0} s: {:.2} datagrams/s, {:.0} B/s out, of them {:.0} B/s of the membership protocol; \
-         {:.2} members/s in answers, {:.2} entries/s",
+        "{settle:>6.0} to {:.0} s: {:.2} datagrams/s, {:.0} B/s sent, of which {:.0} B/s for the membership protocol; \
+         {:.2} members/s in anti-entropy responses, {:.2} entries/s",
         settle + arguments.window,
         rate(arguments, contents.datagrams),
         rate(arguments, contents.bytes),
@@ -109,7 +109,7 @@
     );
 }
 
-/// Nothing is lost, so as much comes in as goes out.
+/// Creates the run of a window. Nothing is lost, so that nodes receive as much as they send.
 fn run(arguments: &Arguments, settle: f64, contents: DatagramStats, memory: f64) -> Run {
     let (bytes, datagrams) = (
         rate(arguments, contents.bytes),
--- a/crates/emulator/examples/scale/report.rs
+++ b/crates/emulator/examples/scale/report.rs
@@ -1,11 +1,11 @@
-//! Reads and writes reports, prints runs, and reads the memory and processor time of this process.
+//! Reads and writes reports, prints runs, and measures the memory and processor time of this process.
 
 use super::error::ScaleError;
 use reelfall_emulator::control::report::{Report, Run, Traffic, SCHEMA};
 use reelfall_emulator::control::times::Times;
 use std::path::Path;
 
-/// Reads a report, or starts a new one if there is no file.
+/// Reads a report, or creates an empty one if there is no file.
 pub fn open(path: &Path, commit: &str, seed: u64) -> Result<Report, ScaleError> {
     if !path.exists() {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
@@ -33,7 +33,7 @@
     Ok(report)
 }
 
-/// Writes a report, a line for each field.
+/// Writes a report as formatted JSON.
 pub fn save(report: &Report, path: &Path) -> Result<(), ScaleError> {
     let text = serde_json::to_string_pretty(report)?;
     std::fs::write(path, text + "\n").map_err(|error| ScaleError::File {
@@ -42,7 +42,7 @@
     })
 }
 
-/// Prints a run on a line, with the maximum number of bytes that a node received and sent within 10 s.
+/// Prints a run on one line. `long_window_max` is the maximum number of bytes that a node received and sent within 10 s.
 pub fn print(run: &Run, long_window_max: u64) {
     let not_measured = Times {
         p50: f64::NAN,
@@ -60,8 +60,8 @@
     } in traffic
     {
         println!(
-            "{:<28} {:>5} nodes: in {bytes_in:.0} B/s {messages_in:.2}/s, out {bytes_out:.0} B/s {messages_out:.2}/s, most in 1 s {} B, \
-             in 10 s {long_window_max} B, cpu {:.4} %, memory {:.1} MB, in force p50 {p50:.2} p99 {p99:.2} last {last:.2} s",
+            "{:<28} {:>5} nodes: in {bytes_in:.0} B/s {messages_in:.2}/s, out {bytes_out:.0} B/s {messages_out:.2}/s, max in 1 s {} B, \
+             in 10 s {long_window_max} B, cpu {:.4} %, memory {:.1} MB, apply time p50 {p50:.2} p99 {p99:.2} max {last:.2} s",
             run.name,
             run.size.nodes,
             run.per_node.peak_bytes,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Resident memory of this process, in bytes; 0 where the system does not state it.
+/// Resident memory of this process, in bytes; 0 if it is unknown.
 pub fn resident_memory() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/emulator/examples/scale/tables.rs
+++ b/crates/emulator/examples/scale/tables.rs
@@ -1,4 +1,5 @@
-//! One node's tables of its peers: the memory that they take, and whether replayed datagrams are accepted past their bounds.
+//! Measures a node's tables of peers: their memory, and whether replayed datagrams are accepted beyond the size limits of the
+//! tables.
 
 use super::error::ScaleError;
 use super::report::{resident_memory, thread_cpu};
@@ -11,22 +12,22 @@
 
 /// Number of nodes over which memory is averaged.
 const SAMPLES: usize = 8;
-/// How long a node is at rest, in seconds: too short for it to suspect its peers.
+/// Duration of the measurement at rest, in seconds; too short for a node to suspect its peers.
 const REST_SECONDS: f64 = 0.9;
-/// How long a node disseminates a ban, in seconds.
+/// Duration of the measurement while a node disseminates a ban, in seconds.
 const BAN_SECONDS: f64 = 0.5;
 
 #[derive(Args)]
 pub struct Arguments {
     #[command(flatten)]
     output: Output,
-    /// Numbers of peers, from the least to the greatest: memory is told by what the process grows.
+    /// Numbers of peers, in ascending order since memory is measured as the growth of the process.
     #[arg(long, value_delimiter = ',', default_values_t = [1_000, 1_500, 3_000, 4_096, 6_000])]
     peers: Vec<u32>,
 }
 
 pub fn measure_all(arguments: &Arguments) -> Result<(), ScaleError> {
-    println!("clocks and lives of {MAX_REMEMBERED} peers are remembered");
+    println!("a node remembers clocks and incarnations of {MAX_REMEMBERED} peers");
     let mut retained = Vec::new();
     let mut runs = Vec::new();
     for peers in &arguments.peers {
@@ -43,7 +44,7 @@
         let with_a_ban = cpu_of(node, BAN_SECONDS);
         let (accepted, replayed) = (node.accepted_datagrams, node.replay());
         println!(
-            "{peers:>5} peers: {:.2} MB a node; its own timers take {:.3} % of a core at rest, {:.3} % while a ban is told; {accepted} datagrams taken in, {replayed} of them again when replayed",
+            "{peers:>5} peers: {:.2} MB per node; timers take {:.3} % of a core at rest, {:.3} % while a ban is disseminated; {accepted} datagrams accepted, {replayed} of them again when replayed",
             memory / 1e6,
             at_rest * 100.0,
             with_a_ban * 100.0,
@@ -75,7 +76,7 @@
     arguments.output.write(runs)
 }
 
-/// Processor time that a node's timers take, in seconds per second.
+/// Processor time of a node's timers, in seconds per second.
 fn cpu_of(node: &mut IsolatedMember, seconds: f64) -> f64 {
     let started_at = thread_cpu();
     node.run_alone(seconds);
--- a/crates/emulator/examples/scale/target.rs
+++ b/crates/emulator/examples/scale/target.rs
@@ -1,4 +1,4 @@
-//! The size that the control side is planned for, as reports state it. Shared by `control` and `baseline`.
+//! The size of the target system in the format of reports, for `control` and `baseline`.
 
 use reelfall_emulator::control::report::Size;
 use reelfall_emulator::control::sizes::Sizes;
@@ -6,7 +6,7 @@
 /// Configuration changes per day.
 pub const CHANGES_PER_DAY: usize = 13_000;
 
-/// The size of a run, without what only some runs have.
+/// The size of a run with the target's rate of changes, without values that only some runs have.
 pub fn size(sizes: Sizes) -> Size {
     Size {
         nodes: sizes.nodes as usize,
--- a/crates/emulator/examples/together/arguments.rs
+++ b/crates/emulator/examples/together/arguments.rs
@@ -1,15 +1,15 @@
-//! The command line.
+//! Parses the command line.
 
 use std::fmt;
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Seeds, if none are given.
+/// Default number of seeds.
 const DEFAULT_SEEDS: usize = 2;
-/// Sizes of clusters, if none are given.
+/// Default sizes of clusters, in nodes.
 const DEFAULT_SIZES: [usize; 3] = [30, 300, 1000];
 
-/// What is to be measured.
+/// What to measure.
 pub enum Arguments {
     /// Detection of dead nodes.
     Members,
@@ -30,7 +30,7 @@
     error: ParseIntError,
 }
 
-/// `main` prints its error so.
+/// `main` prints its error with this format.
 impl fmt::Debug for ArgumentError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         fmt::Debug::fmt(&self.to_string(), f)
--- a/crates/emulator/examples/together/detection.rs
+++ b/crates/emulator/examples/together/detection.rs
@@ -1,39 +1,39 @@
-//! How soon dead nodes are detected, and how often healthy nodes are declared dead beside impaired ones.
+//! Measures how soon dead nodes are detected, and how often healthy nodes are declared dead if other nodes are impaired.
 
 use super::{cluster_with, membership};
 use reelfall_cluster::members::MembershipConfig;
 use reelfall_emulator::cluster::{Cluster, HealthyDeclaredDead};
 
-/// How long nodes may take to discover each other, in seconds.
+/// Time limit for nodes to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 120.0;
-/// How long the death or the restart of one node may take to be known, in seconds.
+/// Time limit for all nodes to learn of the death or restart of a node, in seconds.
 const DETECTION_TIMEOUT: f64 = 60.0;
-/// Number of seed nodes, which are not killed, so that restarted nodes can join.
+/// Number of seed nodes. They are not killed, so that restarted nodes can join.
 const SEED_NODES: usize = 3;
 /// How long a cluster with impaired nodes is measured, in seconds.
 const IMPAIRED_SECONDS: f64 = 120.0;
-/// How long nodes miss datagrams between two looks at the clock, in seconds.
+/// Interval at which the end of the measurement is checked while datagrams are lost, in seconds.
 const LOSS_STEP: f64 = 10.0;
 /// Numbers of impaired nodes.
 const IMPAIRED_NODES: [usize; 2] = [4, 32];
-/// The default bound of the health score, by which impaired nodes suspect others later.
+/// Default maximum of the local health score, due to which impaired nodes suspect others later.
 const MAX_SCORE: u32 = 8;
 
-/// Means of the time from the death of a node until others declare it dead, in seconds.
+/// Mean times from the death of a node until other nodes declare it dead, in seconds.
 pub struct DetectionTimes {
-    /// By the first of them.
+    /// Until the first node does.
     pub first: f64,
-    /// By the last of them.
+    /// Until all other nodes have.
     pub last: f64,
 }
 
-/// Kills this many nodes, one after the other, each of which is started again.
+/// Kills this many nodes one after the other, and restarts each.
 pub fn measure(nodes: usize, killed: usize, seed: u64) -> DetectionTimes {
     let mut cluster = cluster_with(nodes, seed, membership(nodes));
     cluster.run_until(JOIN_TIMEOUT, Cluster::is_converged);
     let (mut first, mut last) = (0.0, 0.0);
     for index in 0..killed {
-        // Each at another phase of the probes.
+        // Kills each node at a different phase of the probe interval.
         cluster.run(3.0 + 0.37 * index as f64);
         let dead = SEED_NODES + index % (nodes - SEED_NODES);
         cluster.kill(dead);
@@ -57,12 +57,12 @@
     }
 }
 
-/// A repeated fault of some nodes.
+/// A recurring fault of some nodes.
 #[derive(Clone, Copy)]
 enum Impairment {
-    /// They are frozen for some time and run for some time, in seconds.
+    /// They are alternately frozen and running, for these times in seconds.
     Frozen { frozen: f64, running: f64 },
-    /// This fraction of the datagrams to them is lost.
+    /// This fraction of datagrams to them is lost.
     ReceiveLoss(f64),
 }
 
@@ -88,15 +88,15 @@
     fn describe(self, impaired: usize) -> String {
         match self {
             Impairment::Frozen { frozen, running } => {
-                format!("{impaired} stand still {frozen} s, run {running} s")
+                format!("{impaired} frozen {frozen} s, running {running} s")
             }
             Impairment::ReceiveLoss(loss) => {
-                format!("{impaired} do not hear {:.0} %", loss * 100.0)
+                format!("{impaired} lose {:.0} % of datagrams", loss * 100.0)
             }
         }
     }
 
-    /// Impairs these nodes for a while.
+    /// Runs the cluster for one cycle of the fault.
     fn apply(self, cluster: &mut Cluster, impaired: &[usize]) {
         match self {
             Impairment::Frozen { frozen, running } => {
@@ -113,13 +113,13 @@
     }
 }
 
-/// How often healthy nodes were declared dead, per minute.
+/// How often healthy nodes were declared dead, per minute, by the health of the declaring node.
 struct FalsePositiveRates {
     by_healthy: f64,
     by_impaired: f64,
 }
 
-/// Measures a cluster some of whose nodes are impaired.
+/// Measures a cluster in which some nodes are impaired.
 fn measure_impaired(
     nodes: usize,
     impaired: usize,
@@ -151,12 +151,12 @@
     }
 }
 
-/// Prints how often healthy nodes are declared dead beside impaired ones, without and with the health score.
+/// Prints how often healthy nodes are declared dead if others are impaired, without and with the local health score.
 pub fn print_impaired(nodes: usize) {
     println!(
-        "{nodes} nodes, some in trouble: others taken for gone, a minute, by others and by those in trouble"
+        "{nodes} nodes, some impaired: healthy nodes declared dead per minute, by healthy and by impaired nodes"
     );
-    println!("in trouble | without doubt of oneself | with it");
+    println!("impaired | without health score | with health score");
     for impairment in IMPAIRMENTS {
         for impaired in IMPAIRED_NODES {
             let without_score = measure_impaired(nodes, impaired, impairment, 0);
--- a/crates/emulator/examples/together/dissemination.rs
+++ b/crates/emulator/examples/together/dissemination.rs
@@ -1,32 +1,32 @@
-//! How fast bans are disseminated, what that costs, and how often nodes are declared dead by mistake meanwhile.
+//! Measures how fast bans are disseminated, the traffic for that, and how often nodes are falsely declared dead.
 
 use super::{cluster_with, membership};
 use reelfall_emulator::cluster::Cluster;
 
-/// How long nodes may take to discover each other, in seconds.
+/// How long to wait for nodes to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 60.0;
-/// A time within which the condition above holds in any case, in seconds.
+/// A timeout beyond [`JOIN_TIMEOUT`], so that reaching the latter is no failure, in seconds.
 const JOIN_BOUND: f64 = 120.0;
-/// How long the cluster settles after that, in seconds.
+/// How long the cluster settles before it is measured, in seconds.
 const SETTLE_SECONDS: f64 = 10.0;
 /// How long traffic at rest is measured, in seconds.
 const REST_SECONDS: f64 = 20.0;
 /// Number of bans, one per second.
 const BANS: usize = 5;
-/// How often nodes are asked whether they have received a ban, in seconds.
+/// Interval at which nodes are checked for having received a ban, in seconds.
 const POLL_INTERVAL: f64 = 0.01;
-/// Number of these intervals for each ban: a second.
+/// Number of [`POLL_INTERVAL`]s for each ban, which amount to a second.
 const POLLS_PER_BAN: usize = 100;
-/// What counts for a node that has not received a ban in this time, in seconds.
+/// Delay that is recorded for a node that has not received a ban in time, in seconds.
 const BAN_TIMEOUT: f64 = 1.0;
 
-/// The figures of one cluster.
+/// The results for one cluster.
 pub struct Figures {
-    /// How long each ban took to each node, in seconds, sorted.
+    /// Delays of each ban to each node, in seconds, in ascending order.
     delays: Vec<f64>,
     at_rest: TrafficRate,
     with_bans: TrafficRate,
-    /// Nodes that were declared dead by mistake, per node and minute.
+    /// Running nodes that were declared dead, per node and minute.
     false_positive_rate: f64,
     violations: usize,
 }
@@ -37,7 +37,7 @@
     bytes: f64,
 }
 
-/// Counters of a cluster at a time.
+/// Traffic counters of a cluster at one time.
 struct Counters {
     datagrams: u64,
     bytes: u64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The traffic since then, over this many seconds of all nodes.
+    /// The traffic rate since the counters were read, over this many seconds summed over nodes.
     fn rate_until_now(&self, cluster: &Cluster, node_seconds: f64) -> TrafficRate {
         TrafficRate {
             datagrams: (cluster.datagrams_sent - self.datagrams) as f64 / node_seconds,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Measures a cluster of this size with this loss of its links.
+/// Measures a cluster of this size with this loss rate of its links.
 pub fn measure(nodes: usize, loss: f64, seed: u64) -> Figures {
     let mut cluster = cluster_with(nodes, seed, membership(nodes));
     cluster.run_until(JOIN_BOUND, |cluster| {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Bans a server at one node; how long it took to each node, in seconds.
+/// Bans a server at one node; returns the delay until each node has received the ban, in seconds.
 fn ban(cluster: &mut Cluster, index: usize) -> Vec<f64> {
     let nodes = cluster.processes.len();
     let banned_at = cluster.now;
@@ -113,7 +113,7 @@
 }
 
 impl Figures {
-    /// Prints them on a line.
+    /// Prints the results on one line.
     pub fn print(&self, nodes: usize, loss: f64, seed: u64) {
         println!(
             "{nodes:>5} {loss:>4.2} {seed:>4}  {:>5.2}  {:>5.2}  {:>6.2} | {:>7.2} {:>7.0} | {:>6.2} {:>7.0} | {:>21.4} {:>6}",
--- a/crates/emulator/examples/together/storm.rs
+++ b/crates/emulator/examples/together/mass_join.rs
@@ -1,22 +1,22 @@
-//! Hundreds of nodes join at once, and more than half of them are killed at once.
+//! Measures a cluster in which hundreds of nodes join at once, and more than half of them are later killed at once.
 
 use super::{cluster_with, membership};
 use reelfall_emulator::cluster::Cluster;
 
-/// How long nodes may take to discover each other, in seconds.
+/// How long to wait for nodes to discover each other, in seconds.
 const JOIN_TIMEOUT: f64 = 120.0;
-/// How often this is checked, in seconds.
+/// Interval at which this is checked, in seconds.
 const JOIN_POLL_INTERVAL: f64 = 0.1;
-/// Fraction of the pairs of nodes that know each other, when nearly all do.
+/// Fraction of pairs of nodes that know each other beyond which nearly all nodes have joined.
 const NEARLY_ALL: f64 = 0.99;
 /// How long the cluster settles before nodes are killed, in seconds.
 const SETTLE_SECONDS: f64 = 5.0;
-/// How long the others may take to detect that, in seconds.
+/// How long to wait for the other nodes to detect the deaths, in seconds.
 const DETECTION_TIMEOUT: f64 = 300.0;
-/// How often this is checked, in seconds.
+/// Interval at which this is checked, in seconds.
 const DETECTION_POLL_INTERVAL: f64 = 0.5;
 
-/// Measures both, and prints the times until all running nodes know it.
+/// Prints how long it takes until all running nodes know each other after the join, and after the deaths.
 pub fn print(nodes: usize, killed: usize, seed: u64) {
     let mut cluster = cluster_with(nodes, seed, membership(nodes));
     join(&mut cluster, nodes);
@@ -35,7 +35,7 @@
         }
     }
     println!(
-        "{nodes} join at once: 99 % of all pairs know each other after {:.1} s, all after {now:.1} s; {:.1} datagrams a node a second",
+        "{nodes} join at once: 99 % of all pairs know each other after {:.1} s, all after {now:.1} s; {:.1} datagrams per node and second",
         nearly_joined_at.unwrap_or(f64::NAN),
         cluster.datagrams_sent as f64 / nodes as f64 / now
     );
@@ -60,5 +60,5 @@
     }
     let elapsed = cluster.now - killed_at;
     let false_positives = cluster.false_positives - before;
-    println!("{killed} end at once: all that are left know after {elapsed:.1} s; {false_positives} times one was wrongly taken for gone");
+    println!("{killed} are killed at once: all remaining nodes know after {elapsed:.1} s; {false_positives} false detections of running nodes");
 }
--- a/crates/emulator/examples/trials/main.rs
+++ b/crates/emulator/examples/trials/main.rs
@@ -1,5 +1,5 @@
-//! Runs the six trials on several seeds, on all cores, and prints the figures of each kind; with the figures of an earlier
-//! run, also the mean difference from it, seed by seed, with its standard error.
+//! Runs the trials with several seeds, on all cores, and prints the mean figures of each. Given the saved scores of an
+//! earlier version, it also prints the mean difference over equal seeds, with its standard error.
 //!
 //! `cargo run --release -p reelfall-emulator --example trials -- --nodes 300 --seeds 8 --save FILE [--against FILE]`
 
@@ -18,31 +18,31 @@
 use std::sync::{Mutex, PoisonError};
 use thiserror::Error;
 
-/// Number of threads, if the system does not state how many cores there are.
+/// Number of threads if the number of cores is unknown.
 const DEFAULT_THREADS: usize = 2;
 
-// Its help is printed by clap; so it has no doc comment.
+// No doc comment, since clap would print it in the help text.
 #[derive(Parser)]
 struct Args {
-    /// Nodes of the fleet.
+    /// Number of nodes of the fleet.
     #[arg(long, default_value_t = 300)]
     nodes: usize,
-    /// Seeds for each kind.
+    /// Number of seeds for each trial.
     #[arg(long, default_value_t = 8)]
     seeds: u64,
-    /// The first of them.
+    /// The first seed.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Kinds to play, all if none is named.
+    /// Trials to run; all if none is given.
     #[arg(long)]
     kind: Vec<String>,
-    /// Where to keep the figure of each run.
+    /// File to which the score of each run is written.
     #[arg(long)]
     save: Option<PathBuf>,
-    /// The kept figures of an earlier run on the same seeds.
+    /// File with the scores of an earlier version, to compare with.
     #[arg(long)]
     against: Option<PathBuf>,
-    /// Print a line for each second of each run.
+    /// Print the totals of each second of each run.
     #[arg(long)]
     seconds: bool,
 }
@@ -60,19 +60,19 @@
     }
 }
 
-/// A file of figures can't be read or written.
+/// A file of scores can't be read or written.
 #[derive(Error)]
 #[error(transparent)]
 struct FileError(#[from] std::io::Error);
 
-/// `main` prints its error so.
+/// `main` prints its error with this format.
 impl fmt::Debug for FileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         fmt::Debug::fmt(&self.0, f)
     }
 }
 
-/// A trial with its seed.
+/// A run that is to be executed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Job {
     trial: Trial,
@@ -108,14 +108,14 @@
         let reports: Vec<&Report> = runs.iter().map(|(_, report)| *report).collect();
         print::line(trial.name(), &reports, &differences);
     }
-    print::all_kinds(&all_differences);
+    print::all_trials(&all_differences);
     if let Some(file) = args.save {
         std::fs::write(file, scores.to_text())?;
     }
     Ok(())
 }
 
-/// Runs all trials with all seeds; plans that can't be executed are left out.
+/// Runs the selected trials with all seeds; plans that can't be executed are skipped.
 fn run_all(args: &Args) -> BTreeMap<Job, Report> {
     let jobs = args.trials().into_iter();
     let jobs = jobs.flat_map(|trial| args.seeds().map(move |seed| Job { trial, seed }));
@@ -138,7 +138,7 @@
     reports.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The differences of scores from those of an earlier run, for the seeds that both have.
+/// The differences of scores from earlier ones, for seeds that both have.
 fn differences(trial: Trial, runs: &[(u64, &Report)], earlier: Option<&Scores>) -> Vec<f64> {
     runs.iter()
         .filter_map(|(seed, report)| Some(score(report) - earlier?.get(trial, *seed)?))
--- a/crates/emulator/examples/trials/print.rs
+++ b/crates/emulator/examples/trials/print.rs
@@ -4,15 +4,15 @@
 use reelfall_emulator::report::Second;
 use reelfall_emulator::Report;
 
-/// Stands for an offered weight of zero.
+/// Replaces an offered weight of zero as a divisor.
 const MIN_OFFERED_WEIGHT: f64 = 1e-9;
 
 /// Prints the header of the table.
 pub fn header() {
-    println!("kind    figure  whole worst10 late% refused% failed% shed% repeats dials to-dead% tries pushed broken   against");
+    println!("trial   score  total  worst10 late%  reject%  failed% shed%  retries conns   unresp% tries   load violated difference");
 }
 
-/// Prints the mean figures of a trial, and the first violation of each run.
+/// Prints the mean figures of a trial, its difference from earlier scores, and the first violation of each run.
 pub fn line(name: &str, reports: &[&Report], differences: &[f64]) {
     let mean = |figure: &dyn Fn(&Report) -> f64| {
         reports.iter().map(|report| figure(report)).sum::<f64>() / reports.len().max(1) as f64
@@ -55,10 +55,10 @@
     f64::from(report.sum(|second| second.requests).max(1))
 }
 
-/// Prints the mean difference over all trials, if there is an earlier run.
-pub fn all_kinds(differences: &[f64]) {
+/// Prints the mean difference over all trials, if there are earlier scores.
+pub fn all_trials(differences: &[f64]) {
     if !differences.is_empty() {
-        println!("all kinds: {}", mean_difference(differences));
+        println!("all trials: {}", mean_difference(differences));
     }
 }
 
@@ -66,7 +66,7 @@
 pub fn seconds(name: &str, seed: u64, report: &Report) {
     for (index, second) in report.seconds.iter().enumerate() {
         println!(
-            "{name} {seed} {index:>3} s: first {:>5} tries {:>5} sends {:>5} repeats {:>4} earned {:.2} late {:>4} refused {:>5} failed {:>4} shed {:>4} expired {:>4} dials {:>4} dead {:>4}",
+            "{name} {seed} {index:>3} s: requests {:>5} client attempts {:>5} attempts {:>5} retries {:>4} earned {:.2} late {:>4} rejected {:>5} failed {:>4} shed {:>4} timed out {:>4} connections {:>4} unresponsive {:>4}",
             second.requests,
             second.client_attempts,
             second.attempts,
--- a/crates/emulator/src/cluster.rs
+++ b/crates/emulator/src/cluster.rs
@@ -1,7 +1,8 @@
-//! A cluster of nodes in virtual time: links with faults, clocks that drift, processes that are frozen, killed and started
-//! again. Each node runs the code of [`reelfall_cluster`]. Tests of that package, golden tests and scale runs drive it.
+//! A cluster of nodes in virtual time: links with faults, clocks that drift, and processes that are frozen, killed and
+//! restarted. Each node runs the production code of [`reelfall_cluster`]. Tests of that package, golden tests and scale runs
+//! use it.
 //!
-//! Invariants are checked by the cluster's one clock, never by a node's own.
+//! Invariants are checked by the cluster's clock and not by the clocks of nodes.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -9,9 +10,9 @@
 //! | `address` | names and addresses of nodes, their configuration and key |
 //! | `process` | one process of a node |
 //! | `links` | links, partitions, and datagrams in flight |
-//! | `outputs` | what nodes ask for and report after each call |
+//! | `outputs` | the datagrams and events that nodes produce |
 //! | `schedule` | the order of deliveries and timers |
-//! | `invariants` | bounds on the lifetime of verdicts |
+//! | `invariants` | invariants of verdicts and bans |
 
 mod address;
 mod entry_version;
@@ -36,44 +37,44 @@
 use reelfall_cluster::node::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of servers that each node lists, unless a test sets another one.
+/// Default of [`Cluster::listed_servers`].
 const LISTED_SERVERS: usize = 20;
 /// Interval at which [`Cluster::run_until`] checks its condition, in seconds.
 const CONDITION_INTERVAL: f64 = 0.01;
 
 /// The nodes of a cluster and the network between them.
 pub struct Cluster {
-    /// The time, in seconds.
+    /// The cluster's clock, in seconds since the start.
     pub now: f64,
-    /// The process of each node, if one runs.
+    /// The process of each node; `None` after it was killed.
     pub processes: Vec<Option<Process>>,
-    /// The properties of all links.
+    /// The properties that all links share.
     pub links: Links,
-    /// Fraction of the datagrams to a node that are lost, beyond what its links lose.
+    /// Fraction of the datagrams to a node that are lost, by node, in addition to the loss of the links.
     pub receive_loss: BTreeMap<usize, f64>,
-    /// Number of servers that each node lists.
+    /// Number of servers in each node's endpoint lists, which bounds how many may be ejected.
     pub listed_servers: usize,
-    /// Maximum number of datagrams that wait for a frozen process.
+    /// Maximum number of datagrams that are queued for a frozen process; further ones are dropped.
     pub inbox_capacity: usize,
-    /// The random numbers of links and processes.
+    /// Random number generator of links and processes.
     pub rng: Pcg64Mcg,
-    /// Number of datagrams that were sent.
+    /// Number of datagrams that nodes have sent.
     pub datagrams_sent: u64,
-    /// Bytes of these datagrams.
+    /// Total size of the datagrams that nodes have sent, in bytes.
     pub bytes_sent: u64,
-    /// Inspects each datagram that is sent, if there is one.
+    /// If present, inspects each datagram that is sent.
     pub inspector: Option<Inspector>,
-    /// The digest of all datagrams with their times, if there is one.
+    /// If present, a digest of all datagrams with their times, delays and receivers.
     pub digest: Option<blake3::Hasher>,
     /// How often a running node was declared dead.
     pub false_positives: u64,
-    /// Number of healthy nodes, if the others are impaired: the nodes with lower indexes, which are never frozen.
+    /// In tests with impaired nodes, the number of healthy nodes: those with the lowest indexes, which are never frozen.
     pub healthy_nodes: Option<usize>,
-    /// How often a healthy node was declared dead.
+    /// How often a healthy node was declared dead, if [`Cluster::healthy_nodes`] is set.
     pub healthy_declared_dead: HealthyDeclaredDead,
-    /// The greatest age of a verdict that was valid anywhere, as a fraction of its time to live.
+    /// The maximum age of any valid verdict, as a fraction of its time to live.
     pub max_age_ratio: f64,
-    /// Violations of invariants.
+    /// Violations of invariants so far.
     pub violations: Vec<Violation>,
     partitioned: BTreeSet<Path>,
     config: Box<dyn Fn(usize) -> Config>,
@@ -84,7 +85,7 @@
 }
 
 impl Cluster {
-    /// A cluster of this many nodes that start at once, each with its configuration.
+    /// Starts a cluster of this many nodes at time 0; `config` returns the configuration of a node.
     pub fn new(nodes: usize, seed: u64, config: impl Fn(usize) -> Config + 'static) -> Cluster {
         let mut cluster = Cluster {
             now: 0.0,
@@ -113,12 +114,12 @@
         cluster
     }
 
-    /// Starts a process of a node under its name, with a clock and an incarnation tag of its own and without any state.
+    /// Starts a process of a node under the node's default name, without state, with a new clock and incarnation tag.
     pub fn start(&mut self, node: usize) {
         self.start_as(node, &name(node));
     }
 
-    /// The same under another name.
+    /// Like [`Cluster::start`], but under another name.
     pub fn start_as(&mut self, node: usize, name: &str) {
         let tag = self.rng.random::<u64>() | 1;
         let seed = self.rng.random::<u64>();
@@ -133,7 +134,8 @@
         self.processes[node] = None;
     }
 
-    /// Calls a node with the time of its own clock, and handles what it asks for.
+    /// Calls a node with the time of its local clock, then sends its datagrams and records its events. `None` if the node does
+    /// not run.
     pub fn with_node<R>(
         &mut self,
         node: usize,
@@ -146,14 +148,14 @@
         Some(result)
     }
 
-    /// Freezes the process of a node. Datagrams wait for it.
+    /// Freezes the process of a node; datagrams to it are queued.
     pub fn freeze(&mut self, node: usize) {
         if let Some(process) = &mut self.processes[node] {
             process.is_frozen = true;
         }
     }
 
-    /// Resumes the process of a node: it receives the datagrams that waited, and then does what is due.
+    /// Resumes a frozen process: it receives the queued datagrams, and then its due timers fire.
     pub fn thaw(&mut self, node: usize) {
         let Some(process) = &mut self.processes[node] else {
             return;
@@ -167,7 +169,7 @@
         self.with_node(node, |fleet, now| fleet.tick(now, listed_servers));
     }
 
-    /// The servers that operators have banned, as a node knows.
+    /// The servers that a node considers banned by operators.
     pub fn banned_servers(&self, node: usize) -> BTreeSet<String> {
         let Some(process) = &self.processes[node] else {
             return BTreeSet::new();
@@ -202,7 +204,7 @@
             .all(|node| self.member_count(node) + 1 == running)
     }
 
-    /// Runs until a condition holds; how long it took.
+    /// Runs until a condition holds; returns how long that took, in seconds.
     ///
     /// # Panics
     /// If the condition does not hold within `timeout` seconds.
--- a/crates/emulator/src/cluster/address.rs
+++ b/crates/emulator/src/cluster/address.rs
@@ -1,4 +1,4 @@
-//! Names and addresses of a cluster's nodes, and the configuration and the key that they share.
+//! Names and addresses of a cluster's nodes, and their default configuration and shared key.
 
 use reelfall_cluster::fleet::Config;
 use reelfall_cluster::wire::Secret;
@@ -14,17 +14,17 @@
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + node as u16))
 }
 
-/// The node with an address; out of range if there is none.
+/// The index of the node with an address; out of range for an unknown address.
 pub(super) fn node_at(address: SocketAddr) -> usize {
     usize::from(address.port()).wrapping_sub(usize::from(FIRST_PORT))
 }
 
-/// The name of a node.
+/// The default name of a node.
 pub fn name(node: usize) -> String {
     format!("node-{node}")
 }
 
-/// The configuration of a node: the defaults, with the first nodes as seed nodes.
+/// The default configuration, with the first nodes as seed nodes.
 pub fn default_config() -> Config {
     Config {
         seeds: (0..SEED_NODES).map(address).collect(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// The cluster's key.
+/// The key that authenticates the cluster's datagrams.
 pub fn secret() -> Secret {
     match Secret::new(b"a key of this world's own", "lagos") {
         Ok(secret) => secret,
--- a/crates/emulator/src/cluster/entry_version.rs
+++ b/crates/emulator/src/cluster/entry_version.rs
@@ -1,8 +1,8 @@
-//! Versions of entries, by which their creation is recorded and their propagation is checked.
+//! Identifies a version of an entry, for which the cluster records the time of creation.
 
 use reelfall_cluster::entry::{Key, Version};
 
-/// A version of an entry.
+/// The key and version of an entry.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EntryVersion {
     pub(super) key: Key,
--- a/crates/emulator/src/cluster/invariants.rs
+++ b/crates/emulator/src/cluster/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants of a [`Cluster`]: no verdict is valid for longer than its time to live, by the cluster's clock; nodes report
-//! the end of each ban; lifted bans don't return.
+//! Invariants of a [`Cluster`]: no verdict is valid for longer than its time to live by the cluster's clock; nodes report
+//! the expiry of each ban; lifted bans do not become valid again.
 
 use super::entry_version::EntryVersion;
 use super::process::Process;
@@ -15,7 +15,7 @@
 /// A violation with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// When, in seconds.
+    /// The cluster's time, in seconds.
     pub at: f64,
     /// What was violated.
     pub kind: ViolationKind,
@@ -31,21 +31,21 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ViolationKind {
     /// A ban is valid again at a node that knew that it was lifted.
-    #[error("a lifted ban is back at node {node}")]
+    #[error("a lifted ban is valid again at node {node}")]
     LiftedBanReturned {
         /// The node.
         node: usize,
     },
-    /// A node has not reported that a ban has expired.
-    #[error("node {node} was not told of the end of {key:?}")]
+    /// A node did not report that a ban has expired.
+    #[error("node {node} did not report the expiry of {key:?}")]
     ExpiryNotReported {
         /// The node.
         node: usize,
         /// The ban.
         key: Box<Key>,
     },
-    /// An entry is valid at a node for longer than its time to live.
-    #[error("node {node} holds {key:?}, {age:.3} s old of {ttl} s")]
+    /// An entry is still valid at a node after its time to live.
+    #[error("{key:?} is valid at node {node} at an age of {age:.3} s, which exceeds its time to live of {ttl} s")]
     EntryOutlived {
         /// The node.
         node: usize,
@@ -70,7 +70,7 @@
         self.violations.push(Violation { at: self.now, kind });
     }
 
-    /// Checks the invariants at all nodes that run. A frozen node acts on nothing.
+    /// Checks the invariants at all running nodes. Frozen nodes are skipped, since they act on no entry.
     pub fn check_invariants(&mut self) {
         let mut violations = Vec::new();
         let mut max_age_ratio = self.max_age_ratio;
@@ -101,14 +101,14 @@
             .for_each(|kind| self.record_violation(kind));
     }
 
-    /// Bans that have expired, and that a node still applies since it was not notified.
+    /// Bans that have expired but whose expiry a node has not reported.
     fn unreported_expiries<'a>(&self, process: &'a Process) -> impl Iterator<Item = &'a Key> {
         let latest = process.local_time(self.now) - EXPIRY_TOLERANCE;
         let has_expired = move |key: &&Key| process.fleet.table().get(key, latest).is_none();
         process.applied_bans.iter().filter(has_expired)
     }
 
-    /// The ages of all valid entries of a node whose creation is known.
+    /// The ages of a node's valid entries whose time of creation is known.
     fn entry_ages<'a>(&'a self, process: &'a Process) -> impl Iterator<Item = EntryAge<'a>> {
         let live = process.fleet.table().live(process.local_time(self.now));
         let age_of = |(key, entry): (&'a Key, &StoredEntry)| {
--- a/crates/emulator/src/cluster/links.rs
+++ b/crates/emulator/src/cluster/links.rs
@@ -32,14 +32,14 @@
     }
 }
 
-/// The way from one node to another.
+/// One direction of the link between two nodes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Path {
     from: usize,
     to: usize,
 }
 
-/// When a datagram arrives. Those of one microsecond arrive in the order in which they were sent.
+/// When a datagram arrives. Datagrams of the same microsecond arrive in the order in which they were sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DeliveryTime {
     pub(super) microseconds: u64,
@@ -53,13 +53,13 @@
 }
 
 impl Cluster {
-    /// Partitions two sets of nodes from each other.
+    /// Drops all datagrams between two sets of nodes, in both directions.
     pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         self.partition_one_way(one, other);
         self.partition_one_way(other, one);
     }
 
-    /// From now on nothing that is sent passes from one set of nodes to another.
+    /// Drops all datagrams that are sent from one set of nodes to another from now on.
     pub fn partition_one_way(&mut self, from: &[usize], to: &[usize]) {
         for from in from {
             let paths = to.iter().map(|to| Path {
@@ -75,7 +75,7 @@
         self.partitioned.clear();
     }
 
-    /// Sends a datagram to a node, with this delay in seconds and whatever the links are.
+    /// Delivers a datagram to a node after `delay` seconds, regardless of links and partitions.
     pub fn inject(&mut self, to: usize, datagram: Vec<u8>, delay: f64) {
         self.last_sequence += 1;
         if let Some(digest) = &mut self.digest {
@@ -91,7 +91,7 @@
         self.in_flight.insert(at, InFlight { to, datagram });
     }
 
-    /// Sends a datagram of a node over its link.
+    /// Sends a datagram of a node over its link, which may drop, delay or duplicate it.
     pub(super) fn send(&mut self, from: usize, to: SocketAddr, datagram: &[u8]) {
         self.datagrams_sent += 1;
         self.bytes_sent += datagram.len() as u64;
@@ -106,8 +106,9 @@
         let copies = 1 + usize::from(is_duplicated);
         for _ in 0..copies {
             let receive_loss = self.receive_loss.get(&to);
-            let is_missed = receive_loss.is_some_and(|loss| self.rng.random::<f64>() < *loss);
-            if self.rng.random::<f64>() >= self.links.loss && !is_missed {
+            let is_lost_at_receiver =
+                receive_loss.is_some_and(|loss| self.rng.random::<f64>() < *loss);
+            if self.rng.random::<f64>() >= self.links.loss && !is_lost_at_receiver {
                 let Links {
                     min_delay,
                     max_delay,
--- a/crates/emulator/src/cluster/outputs.rs
+++ b/crates/emulator/src/cluster/outputs.rs
@@ -1,5 +1,5 @@
-//! What a node of a [`Cluster`] asks for and reports after each call: datagrams are sent, updates of verdicts and declared
-//! deaths are recorded.
+//! Handles the outputs of a [`Cluster`]'s node after each call: sends its datagrams, and records updates of verdicts and
+//! nodes that it has declared dead.
 
 use super::address::node_at;
 use super::entry_version::EntryVersion;
@@ -10,7 +10,7 @@
 use reelfall_cluster::members::MemberEvent;
 use reelfall_cluster::node::Node;
 
-/// How often a healthy node was declared dead, by who declared it.
+/// How often healthy nodes were declared dead, by the health of the node that declared it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthyDeclaredDead {
     /// By another healthy node.
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Records when an entry was created, and which bans the node applies.
+    /// Records when an entry was created, and which bans the node applies or knows to be lifted.
     fn record_update(&mut self, node: usize, key: Key) {
         let now = self.now;
         let Some(process) = &mut self.processes[node] else {
@@ -55,7 +55,7 @@
         let Some(entry) = process.fleet.table().get(&key, local_time) else {
             return;
         };
-        // Every node that sees an index publishes it, and each time is a creation of its own.
+        // Every node that sees a list index publishes it again, so that there is no single time of creation.
         if !matches!(key, Key::ListIndex { .. }) {
             let created = EntryVersion {
                 key: key.clone(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Counts the nodes that a node has declared dead by mistake.
+    /// Counts false positives: running nodes, and healthy nodes, that a node has declared dead.
     fn record_deaths(&mut self, by: usize, declared_dead: &[Node]) {
         let is_running = |node: &&Node| {
             let mut processes = self.processes.iter().flatten();
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -4,14 +4,14 @@
 use super::Cluster;
 use std::collections::BTreeSet;
 
-/// Minimum time between two polls of a node, in seconds: one that is always due can't stop the clock.
+/// Minimum time between two polls of a node, in seconds, so that virtual time advances even if a node is always due.
 const POLL_INTERVAL: f64 = 0.0005;
 /// Interval between checks of the invariants, in seconds.
 const CHECK_INTERVAL: f64 = 0.05;
-/// A time that is never reached, in microseconds.
+/// Time of a timer that is not set, in microseconds.
 const NEVER: u64 = u64::MAX;
 
-/// When each node is to be polled, in microseconds.
+/// When each node is due to be polled: an ordered queue with at most one timer per node.
 struct Timers {
     queue: BTreeSet<Timer>,
     by_node: Vec<Option<Timer>>,
@@ -41,7 +41,7 @@
         Some(timer.node)
     }
 
-    /// Replaces the timer of a node.
+    /// Replaces or removes the timer of a node.
     fn set(&mut self, node: usize, microseconds: Option<u64>) {
         let timer = microseconds.map(|microseconds| Timer { microseconds, node });
         if let Some(replaced) = std::mem::replace(&mut self.by_node[node], timer) {
@@ -52,7 +52,7 @@
 }
 
 impl Cluster {
-    /// Runs for this many seconds, and checks the invariants regularly.
+    /// Runs for this many seconds, and checks the invariants periodically and at the end.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
         let mut timers = Timers::new(self.processes.len());
@@ -91,7 +91,7 @@
         let (_, InFlight { to, datagram }) = self.in_flight.pop_first()?;
         let inbox_capacity = self.inbox_capacity;
         match &mut self.processes[to] {
-            // As with the buffer of a socket, what arrives later is dropped.
+            // Like a full socket buffer, a full inbox drops new datagrams.
             Some(process) if process.is_frozen && process.inbox.len() >= inbox_capacity => {}
             Some(process) if process.is_frozen => process.inbox.push(datagram),
             Some(_) => drop(self.with_node(to, |fleet, now| fleet.receive(now, &datagram))),
@@ -112,7 +112,7 @@
         Some(node)
     }
 
-    /// When a node is to be polled, in microseconds, if it runs.
+    /// When a node is due to be polled, in microseconds; `None` if it is dead or frozen.
     fn poll_time(&self, node: usize) -> Option<u64> {
         let process = self.processes[node].as_ref();
         let process = process.filter(|process| !process.is_frozen)?;
--- a/crates/emulator/src/control/account.rs
+++ b/crates/emulator/src/control/account.rs
@@ -1,13 +1,13 @@
-//! Accounts of endpoints: bytes and frames sent and received, and processor time. The network keeps one for each slot.
+//! Accounts of endpoints: bytes and frames sent and received, and processor time. The network has one for each endpoint.
 
 use std::collections::VecDeque;
 
-/// Length of the short window, in seconds: the peaks of a run's report.
+/// Length of the short window, in seconds. Reports of runs state the maximum over it as the peak.
 pub const SHORT_WINDOW: f64 = 1.0;
-/// Length of the long window, in seconds: the bandwidth budget of a node's control traffic holds over any such window.
+/// Length of the long window, in seconds. The bandwidth budget of a node's control traffic applies to any such window.
 pub const LONG_WINDOW: f64 = 10.0;
 
-/// Maximum number of bytes within any sliding window of a length.
+/// Tracks the maximum number of bytes within a sliding window.
 #[derive(Clone, Debug)]
 pub struct Window {
     length: f64,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Adds bytes at a time that is no earlier than those before.
+    /// Adds bytes at a time. Times must not decrease between calls.
     pub fn add(&mut self, now: f64, bytes: u64) {
         while let Some(oldest) = self.transfers.front() {
             if oldest.at > now - self.length {
@@ -41,7 +41,7 @@
         self.max = self.max.max(self.sum);
     }
 
-    /// Maximum number of bytes within any window so far.
+    /// Maximum number of bytes within any window of this length so far.
     pub fn max(&self) -> u64 {
         self.max
     }
@@ -64,7 +64,7 @@
     pub messages_in: u64,
     /// Frames sent.
     pub messages_out: u64,
-    /// Processor time of the real thread, in seconds; 0 without a clock.
+    /// Processor time that its calls took, in seconds; 0 if the network measures none.
     pub cpu: f64,
     /// Bytes received and sent within [`SHORT_WINDOW`].
     pub short_window: Window,
@@ -107,27 +107,27 @@
     }
 }
 
-/// What some endpoints used over a time: means over them, and maxima of any.
+/// The usage of several endpoints over a period: means per endpoint, and maxima over the endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Bytes received by one of them in a second.
+    /// Mean bytes received per second and endpoint.
     pub bytes_in: f64,
-    /// Bytes sent by one of them in a second.
+    /// Mean bytes sent per second and endpoint.
     pub bytes_out: f64,
-    /// Frames received by one of them in a second.
+    /// Mean frames received per second and endpoint.
     pub messages_in: f64,
-    /// Frames sent by one of them in a second.
+    /// Mean frames sent per second and endpoint.
     pub messages_out: f64,
-    /// Processor time of one of them, in seconds a second.
+    /// Mean processor time per endpoint, in seconds per second.
     pub cpu: f64,
-    /// Maximum number of bytes received and sent by any of them within [`SHORT_WINDOW`].
+    /// Maximum number of bytes received and sent by any endpoint within [`SHORT_WINDOW`].
     pub short_window_max: u64,
-    /// Maximum number of bytes received and sent by any of them within [`LONG_WINDOW`].
+    /// Maximum number of bytes received and sent by any endpoint within [`LONG_WINDOW`].
     pub long_window_max: u64,
 }
 
 impl Usage {
-    /// The usage of accounts that cover this many seconds.
+    /// Computes the usage from accounts that cover this many seconds.
     pub fn of<'a>(accounts: impl IntoIterator<Item = &'a Account>, seconds: f64) -> Usage {
         let mut usage = Usage::default();
         let mut endpoints = 0.0;
--- a/crates/emulator/src/control/baseline.rs
+++ b/crates/emulator/src/control/baseline.rs
@@ -1,26 +1,26 @@
-//! What distribution costs without deltas, by formulas: the whole settings file to each node at each change, and whole
-//! endpoint lists to each node that polls. The scale runs print it beside the figures of the distribution.
+//! The cost of configuration distribution by full snapshots, by formulas: each node receives the whole settings file at each
+//! change, and whole endpoint lists at each poll. The scale runs print it for comparison with the actual distribution.
 
-/// A server of a settings file, as operators write it.
+/// A server entry of a settings file.
 const SERVER_ENTRY: &str =
     "[[service.server]]\nname = \"server-12345\"\naddress = \"10.123.45.67:8080\"\nzone = \"zone-07\"\n\n";
-/// A route of a settings file.
+/// A route entry of a settings file.
 const ROUTE_ENTRY: &str =
     "[[service.route]]\nhost = \"service-1234.example.org\"\npath = \"/path-12\"\nassign = \"default\"\n\n";
-/// A service of a settings file with its class, without its servers and routes.
+/// A service entry of a settings file with its class, without servers and routes.
 const SERVICE_ENTRY: &str =
     "[[service]]\nname = \"service-1234\"\nlimits = { open = 250, open_reserved = 100 }\n\n\
     [[service.class]]\nname = \"default\"\nrepeat = \"safe\"\naim = \"150ms\"\ndeadline = \"600ms\"\n\n";
-/// A tenant and its quota, as the platform's configuration has it.
+/// A tenant with its quota, in the format of the platform's configuration.
 const TENANT_ENTRY: &str = "{\"name\":\"tenant-123456\",\"quota-rps\":20.0},";
-/// A server of an endpoint list, in a response of discovery.
+/// A server of an endpoint list, in the format of a discovery response.
 const LISTED_ENTRY: &str =
     "{\"name\":\"server-12345\",\"address\":\"10.123.45.67:8080\",\"zone\":\"zone-07\",\"weight\":1.0},";
 
-/// Seconds of a day.
+/// Number of seconds per day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// The amount of configuration of a system.
+/// The number of configuration entries of a system.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConfigurationSize {
     /// Servers of all services.
@@ -34,7 +34,7 @@
 }
 
 impl ConfigurationSize {
-    /// The target system's.
+    /// The configuration of the target system.
     pub const TARGET: ConfigurationSize = ConfigurationSize {
         servers: 50_000,
         services: 2_600,
@@ -42,7 +42,7 @@
         tenants: 560_000,
     };
 
-    /// Bytes of the whole settings, tenants included.
+    /// Size of all settings, including tenants, in bytes.
     pub fn settings_bytes(&self) -> f64 {
         let bytes = self.servers * SERVER_ENTRY.len()
             + self.routes * ROUTE_ENTRY.len()
@@ -51,41 +51,41 @@
         bytes as f64
     }
 
-    /// Bytes of the endpoint lists of all services.
+    /// Size of the endpoint lists of all services, in bytes.
     pub fn list_bytes(&self) -> f64 {
         (self.servers * LISTED_ENTRY.len()) as f64
     }
 }
 
-/// Distribution by full snapshots, as one node sees it.
+/// Parameters of distribution by full snapshots to one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FullSnapshots {
-    /// The amount of configuration.
+    /// The number of configuration entries.
     pub size: ConfigurationSize,
     /// Configuration changes per second.
     pub changes_per_second: f64,
-    /// Seconds between two polls for the whole endpoint lists; infinite if the node does not poll.
+    /// Interval between polls for endpoint lists, in seconds; infinite if the node does not poll.
     pub list_interval: f64,
-    /// What a node's link has for control traffic, in bytes per second.
+    /// Bandwidth of a node's link for control traffic, in bytes per second.
     pub bandwidth: f64,
 }
 
-/// Time from a change until a node has applied it.
+/// The time from a change until a node has applied it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ApplyTime {
-    /// The transfer in progress has to end before the next file, which contains the change, is sent.
+    /// It is bounded: the file that contains the change is sent after the transfer in progress, if any.
     Within {
         /// Seconds if no transfer is in progress.
         min: f64,
         /// Seconds if a transfer has just begun.
         max: f64,
     },
-    /// Demand exceeds the bandwidth: the backlog grows without a bound, unless changes are coalesced.
+    /// It is unbounded: demand exceeds the bandwidth, so that the backlog keeps growing.
     Never,
 }
 
 impl FullSnapshots {
-    /// Bytes per second that a node would have to receive.
+    /// Traffic that a node has to receive, in bytes per second.
     pub fn bandwidth_demand(&self) -> f64 {
         self.size.settings_bytes() * self.changes_per_second + self.list_demand()
     }
@@ -94,12 +94,12 @@
         self.size.list_bytes() / self.list_interval
     }
 
-    /// Bytes that a node receives for one change: the whole file.
+    /// Bytes that a node receives for one change: the size of the whole file.
     pub fn bytes_per_change(&self) -> f64 {
         self.size.settings_bytes()
     }
 
-    /// When a change is applied if a file is sent for each.
+    /// Apply time if a file is sent for every change.
     pub fn apply_time(&self) -> ApplyTime {
         if self.bandwidth_demand() >= self.bandwidth {
             return ApplyTime::Never;
@@ -107,7 +107,7 @@
         self.apply_time_coalesced()
     }
 
-    /// When a change is applied if a node that is behind is sent the newest file alone.
+    /// Apply time if changes are coalesced: a node that is behind receives only the newest file.
     pub fn apply_time_coalesced(&self) -> ApplyTime {
         let bandwidth_for_settings = self.bandwidth - self.list_demand();
         if bandwidth_for_settings <= 0.0 {
--- a/crates/emulator/src/control/clock.rs
+++ b/crates/emulator/src/control/clock.rs
@@ -1,27 +1,27 @@
-//! Clocks of machines, which drift from the clock of the world. Each machine has one.
+//! Clocks of machines, which drift from the simulation's clock.
 
-/// A machine's own clock.
+/// A machine's clock, as a linear function of the simulation's time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clock {
-    /// Its time at the world's time 0, in seconds.
+    /// Its time at simulation time 0, in seconds.
     pub offset: f64,
-    /// Its seconds per second of the world.
+    /// Seconds of this clock per second of simulation time.
     pub rate: f64,
 }
 
 impl Clock {
-    /// The world's clock.
+    /// A clock that shows the simulation time.
     pub const TRUE: Clock = Clock {
         offset: 0.0,
         rate: 1.0,
     };
 
-    /// Its time at a time of the world.
+    /// Converts simulation time to the time of this clock.
     pub fn local(&self, world: f64) -> f64 {
         self.offset + world * self.rate
     }
 
-    /// The time of the world at a time of this clock.
+    /// Converts a time of this clock to simulation time.
     pub fn world(&self, local: f64) -> f64 {
         (local - self.offset) / self.rate
     }
--- a/crates/emulator/src/control/endpoint.rs
+++ b/crates/emulator/src/control/endpoint.rs
@@ -1,24 +1,24 @@
-//! What runs at the ends of links: the [`Endpoint`] trait, its frames, and the network's slot for each process.
+//! The [`Endpoint`] trait of processes on a network, their frames, and the network's slot for each process.
 
 use super::account::Account;
 use std::collections::VecDeque;
 
-/// Code without I/O at one end of links.
+/// A process on a network, as a state machine without I/O.
 pub trait Endpoint {
     /// Handles a received frame.
     fn receive(&mut self, now: f64, from: u32, frame: &[u8], outgoing: &mut Vec<OutgoingFrame>);
-    /// Does what is due.
+    /// Performs the work that is due at `now`.
     fn poll(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>);
-    /// When [`Endpoint::poll`] has something to do; infinite for never.
+    /// When [`Endpoint::poll`] is next due; infinite if it is not.
     fn next_wakeup(&self) -> f64;
 }
 
-/// A frame that an endpoint asks its network to send.
+/// A frame to be sent by the network.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingFrame {
-    /// The endpoint that receives it.
+    /// The receiving endpoint.
     pub to: u32,
-    /// Its bytes, without headers.
+    /// The frame's bytes, without headers of lower layers.
     pub frame: Vec<u8>,
 }
 
@@ -29,20 +29,20 @@
     pub(super) frame: Vec<u8>,
 }
 
-/// A clock of processor time, in seconds.
+/// A function that returns consumed processor time, in seconds.
 pub type CpuClock = fn() -> f64;
 
-/// The state of an endpoint, and the process that runs there.
+/// An endpoint's process and the network's state for it.
 pub(super) struct Slot<E> {
     pub(super) process: Option<E>,
     pub(super) is_frozen: bool,
     pub(super) inbox: VecDeque<ReceivedFrame>,
-    /// Number of processes that have started here.
+    /// Number of processes that have been started at this endpoint.
     pub(super) incarnation: u32,
-    /// When the earliest wakeup in the queue is due.
+    /// When its earliest queued wakeup is due; infinite if there is none.
     pub(super) scheduled_wakeup: f64,
     pub(super) last_polled_at: f64,
-    /// When its uplink has sent all frames so far.
+    /// When its uplink will have sent all frames so far.
     pub(super) uplink_free_at: f64,
     pub(super) account: Account,
 }
@@ -68,7 +68,7 @@
         self.process.as_mut()
     }
 
-    /// Calls the process, if it runs, and accounts for the processor time.
+    /// Calls the process, if it runs, and records the processor time of the call.
     pub(super) fn call<R>(
         &mut self,
         clock: Option<CpuClock>,
--- a/crates/emulator/src/control/errors.rs
+++ b/crates/emulator/src/control/errors.rs
@@ -1,5 +1,5 @@
-//! Why a [`super::world::World`] could not publish, or its relays are behind; [`super::invariants`] records both as
-//! violations.
+//! Errors of publishing in a [`super::world::World`], and the state of relays that are behind. [`super::invariants`] records
+//! both as violations.
 
 use reelfall_distribution::peer::PeerId;
 use reelfall_distribution::publish::PublishError;
@@ -7,30 +7,30 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Why nothing was published.
+/// Why a change was not published.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WriteError {
     /// No publisher holds the lease.
-    #[error("nobody holds the lease")]
+    #[error("no publisher holds the lease")]
     NoLeaseHolder,
     /// The publisher that holds the lease does not run.
-    #[error("the publisher does not run")]
+    #[error("the publisher that holds the lease is not running")]
     PublisherNotRunning,
-    /// The publisher rejected it.
+    /// The publisher rejected the change.
     #[error(transparent)]
     Rejected(#[from] PublishError),
 }
 
-/// What a relay has received.
+/// How far a relay has followed the publisher.
 #[derive(Clone, Debug)]
 pub struct RelayProgress {
     /// The relay.
     pub relay: u32,
-    /// Number of its resources.
+    /// Number of resources that it has.
     pub resources: usize,
-    /// Number of spans of versions that it covers.
+    /// Number of contiguous version ranges that it has received.
     pub spans: usize,
-    /// The last version that it covers.
+    /// The last version that it has received.
     pub last_version: Version,
     /// The peer that it follows.
     pub following: Option<PeerId>,
@@ -56,14 +56,14 @@
     }
 }
 
-/// Not all relays have what the publisher has published.
+/// Not all relays have received everything that the publisher has published.
 #[derive(Clone, Debug, Error)]
 pub struct RelaysBehind {
     /// Number of resources of the publisher.
     pub published: usize,
-    /// The last version of the publisher.
+    /// The last version that was published; `None` if there is no publisher.
     pub head: Option<Version>,
-    /// What each relay that runs has received.
+    /// The progress of each running relay.
     pub relays: Vec<RelayProgress>,
 }
 
@@ -72,7 +72,7 @@
         let relays: Vec<String> = self.relays.iter().map(RelayProgress::to_string).collect();
         write!(
             f,
-            "of {} resources up to {:?} the relays do not have all: {}",
+            "not all relays have all {} resources up to {:?}: {}",
             self.published,
             self.head,
             relays.join("; ")
--- a/crates/emulator/src/control/full_snapshots.rs
+++ b/crates/emulator/src/control/full_snapshots.rs
@@ -1,58 +1,58 @@
-//! Distribution without deltas, emulated: a source sends the newest settings file to every node at each change, at the rate
-//! that a node's link has for control traffic.
+//! Emulates configuration distribution by full snapshots: at each change, a source sends the newest settings file to every
+//! node, at the bandwidth of a node's link for control traffic.
 //!
-//! Tests check the formulas of [`super::baseline`] with it, which are used at sizes that can't be emulated.
+//! Tests verify the formulas of [`super::baseline`] with it; the formulas are used for sizes that can't be emulated.
 
 use super::endpoint::{Endpoint, OutgoingFrame};
 
 /// Seconds between two frames to one node.
 const FRAME_INTERVAL: f64 = 0.1;
-/// Bytes of a frame's header: the file's version, and whether the frame is its last.
+/// Length of a frame's header in bytes: the file's version, and whether this is its last frame.
 const HEADER_LEN: usize = 9;
 
-/// Sends the newest file to all nodes.
+/// Sends the newest version of a file to all nodes.
 pub struct SnapshotSource {
     transfers: Vec<Transfer>,
     file_bytes: usize,
-    /// Bytes of a file within one frame.
+    /// Maximum number of bytes of the file in one frame.
     frame_bytes: usize,
     version: u64,
     next_send_at: f64,
 }
 
-/// The file that is being sent to a node, or that was sent last.
+/// The version that is being sent to a node, or that was sent last.
 struct Transfer {
     node: u32,
     version: u64,
     remaining_bytes: usize,
 }
 
-/// Receives files.
+/// Receives files and records when they are complete.
 #[derive(Default)]
 pub struct SnapshotReceiver {
-    /// The files that were received, in their order.
+    /// The received files, in order of arrival.
     pub received: Vec<ReceivedSnapshot>,
 }
 
 /// A file that was received completely.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedSnapshot {
-    /// The version of the file.
+    /// The file's version.
     pub version: u64,
     /// When its last frame arrived, in seconds.
     pub at: f64,
 }
 
-/// Either end of a transfer.
+/// A sender or a receiver of files.
 pub enum SnapshotEndpoint {
-    /// The one that sends files.
+    /// The sender.
     Source(SnapshotSource),
-    /// One that receives them.
+    /// A receiver.
     Receiver(SnapshotReceiver),
 }
 
 impl SnapshotSource {
-    /// A source of files of this size, for nodes with this bandwidth each, in bytes per second.
+    /// A source of a file of `file_bytes` bytes that sends to each node with this bandwidth, in bytes per second.
     pub fn new(
         nodes: impl IntoIterator<Item = u32>,
         file_bytes: usize,
--- a/crates/emulator/src/control/invariants.rs
+++ b/crates/emulator/src/control/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the distribution, checked by what nodes do and not by what they report. The world records violations.
+//! Invariants of configuration distribution. They are checked against what nodes apply, not against what they report.
 
 use super::account::LONG_WINDOW;
 use super::errors::{RelaysBehind, WriteError};
@@ -12,15 +12,15 @@
 use std::fmt;
 use thiserror::Error;
 
-/// What a node's link has for control traffic, in bytes per second, over any [`LONG_WINDOW`].
+/// Bandwidth budget of a node's control traffic, in bytes per second, over any [`LONG_WINDOW`].
 pub const CONTROL_BANDWIDTH: f64 = 8_000.0;
-/// Maximum number of violations that are recorded; further ones are counted alone.
+/// Maximum number of violations that are recorded; further ones are only counted.
 const MAX_VIOLATIONS: usize = 20;
 
 /// A violation with its time.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// When, in seconds.
+    /// The simulation time, in seconds.
     pub at: f64,
     /// What was violated.
     pub kind: ViolationKind,
@@ -35,91 +35,96 @@
 /// How an invariant was violated.
 #[derive(Clone, Debug, Error)]
 pub enum ViolationKind {
-    /// A node applied a version that is not greater than the one before.
-    #[error("node {node}: {resource:?} went from Some({previous:?}) to {applied:?}")]
+    /// A node applied a version that is not greater than the previous one.
+    #[error("node {node} applied version {applied:?} of {resource:?} after version {previous:?}")]
     VersionNotIncreased {
         /// The node.
         node: u32,
         /// The resource.
         resource: Box<Name>,
-        /// The version before.
+        /// The version that it had applied before.
         previous: Version,
         /// The version that the node applied.
         applied: Version,
     },
-    /// A node has other resources than the publisher.
-    #[error("node {node}, which follows {following:?}, has other resources than the publisher")]
+    /// A node's resources differ from those of the publisher.
+    #[error(
+        "the resources of node {node}, which follows {following:?}, differ from the publisher's"
+    )]
     NodeDiffers {
         /// The node.
         node: u32,
         /// The peer that it follows.
         following: Option<PeerId>,
     },
-    /// A node exceeded its bandwidth.
-    #[error("node {node} used {bytes} bytes within {} s", LONG_WINDOW)]
+    /// A node exceeded its bandwidth budget.
+    #[error(
+        "node {node} exceeded its bandwidth budget with {bytes} bytes within {} s",
+        LONG_WINDOW
+    )]
     BandwidthExceeded {
         /// The node.
         node: u32,
         /// Bytes within [`LONG_WINDOW`].
         bytes: u64,
     },
-    /// A node stated a staleness that is less than the true one.
-    #[error("node {node} states an age of {stated} s, it is {actual} s")]
+    /// A node reported a staleness that is less than the actual one.
+    #[error("node {node} reported a staleness of {stated} s, but it was {actual} s")]
     StalenessUnderstated {
         /// The node.
         node: u32,
-        /// What it stated, in seconds.
+        /// The reported staleness, in seconds.
         stated: f64,
-        /// The true one, in seconds.
+        /// The actual staleness, in seconds.
         actual: f64,
     },
     /// The publisher rejected a change.
-    #[error("a change was refused: {0}")]
+    #[error("a change was rejected: {0}")]
     ChangeRejected(WriteError),
     /// A batch of changes was not published.
-    #[error("not published: {0}")]
+    #[error("a batch of changes was not published: {0}")]
     BatchRejected(WriteError),
     /// A change was not reverted.
-    #[error("not taken back: {0}")]
+    #[error("a change was not reverted: {0}")]
     RevertRejected(WriteError),
     /// Relays did not receive all resources in time.
     #[error(transparent)]
     RelaysBehind(RelaysBehind),
     /// A node could not subscribe to a tenant.
-    #[error("node {node} could not ask for tenant {tenant}: {error}")]
+    #[error("node {node} could not subscribe to tenant {tenant}: {error}")]
     SubscriptionRejected {
         /// The node.
         node: u32,
         /// The tenant.
         tenant: u32,
-        /// Why.
+        /// The cause.
         error: TooManySubscriptions,
     },
-    /// A publisher rejected its lease.
-    #[error("publisher {publisher} refused token {token}: {error}")]
+    /// A publisher rejected the lease that it was granted.
+    #[error("publisher {publisher} rejected the lease with token {token}: {error}")]
     LeaseRejected {
         /// The publisher.
         publisher: u32,
         /// The fencing token of the lease.
         token: u64,
-        /// Why.
+        /// The cause.
         error: PublishError,
     },
 }
 
-/// A resource at a node.
+/// A resource at one node.
 #[derive(PartialEq, Eq, Hash)]
 struct NodeResource {
     node: u32,
     name: Name,
 }
 
-/// Records violations, and the versions that it needs to find them.
+/// Records violations, and the state that is needed to detect them.
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// The last version of each resource at each node.
+    /// The last applied version of each resource at each node.
     versions: HashMap<NodeResource, Version>,
-    /// The first violations.
+    /// The first violations, up to a limit.
     pub violations: Vec<Violation>,
     /// Number of all violations.
     pub violation_count: usize,
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Checks that the versions that a node applies increase.
+    /// Checks that a node applies increasing versions of a resource.
     pub fn check_applied(&mut self, node: u32, applied: &AppliedChange) {
         let resource = NodeResource {
             node,
@@ -152,13 +157,13 @@
         }
     }
 
-    /// Forgets the versions of a node that has lost its disk.
+    /// Discards the recorded versions of a node whose disk was erased.
     pub fn forget_node(&mut self, node: u32) {
         self.versions.retain(|resource, _| resource.node != node);
     }
 }
 
-/// Whether a node has applied of a resource what the publisher has.
+/// Whether the content of a resource that a node has applied is that of the publisher.
 pub fn has_same_content(publisher: &Publisher, node: &Node, name: &Name) -> bool {
     let key = Key {
         name: name.clone(),
--- a/crates/emulator/src/control/layout.rs
+++ b/crates/emulator/src/control/layout.rs
@@ -1,5 +1,5 @@
-//! The layout of a system: which endpoint is a node, a publisher or a relay, its configuration, what it subscribes to and which
-//! peers it follows. The world starts machines by it.
+//! The layout of a system: which endpoints are nodes, publishers or relays, and their configuration, subscriptions and
+//! upstream peers.
 
 use super::resources::{service_name, Resource};
 use super::sizes::Sizes;
@@ -15,15 +15,15 @@
 use reelfall_lease::token::{InvalidLeaseName, LeaseName};
 use thiserror::Error;
 
-/// What a publisher retains of replaced contents, so that changes can be reverted, in bytes.
+/// Size of the replaced contents that a publisher retains so that changes can be reverted, in bytes.
 const REVERT_HISTORY_BYTES: usize = 64 << 20;
-/// How long a new publisher waits for what earlier publishers wrote, in seconds: longer than a follower waits for a session to
-/// open ([`UpstreamConfig::open_timeout`]); a first relay that is dead costs no more than [`UpstreamConfig::attempt_delay`].
+/// How long a new publisher waits for the changes of earlier publishers, in seconds. It is longer than a follower waits for a
+/// session to open ([`UpstreamConfig::open_timeout`]); a dead first relay costs at most [`UpstreamConfig::attempt_delay`].
 pub const TAKEOVER_TIMEOUT: f64 = 3.0;
 /// Minimum time between two acknowledgements of a node, in seconds.
 const ACKNOWLEDGEMENT_INTERVAL: f64 = 10.0;
 
-/// The endpoints of a system, with their roles.
+/// The endpoints of a system by role.
 pub struct Layout {
     /// The sizes of the system.
     pub sizes: Sizes,
@@ -34,19 +34,19 @@
     seed: u64,
 }
 
-/// A layout with the sites of its endpoints.
+/// A layout together with the sites of its endpoints.
 pub struct PlacedLayout {
-    /// The endpoints with their roles.
+    /// The endpoints by role.
     pub layout: Layout,
     /// The sites of the endpoints.
     pub topology: Topology,
 }
 
-/// Why a system can't be placed.
+/// Why the endpoints of a system can't be placed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LayoutError {
     /// There are no nodes, publishers, relays or groups.
-    #[error("nodes, publishers, relays and groups: at least one of each")]
+    #[error("a system needs at least one node, publisher, relay and group")]
     Empty,
     /// The name of the lease is invalid.
     #[error(transparent)]
@@ -54,7 +54,7 @@
 }
 
 impl Layout {
-    /// Places nodes first, then publishers, then relays.
+    /// Places the endpoints of a system: numbers are assigned to nodes first, then to publishers, then to relays.
     ///
     /// # Errors
     /// If the name of the lease is invalid, or there are no nodes, publishers, relays or groups.
@@ -112,7 +112,7 @@
         self.publishers.iter().chain(&self.relays).copied()
     }
 
-    /// The nodes of a set.
+    /// The nodes within a set of endpoints.
     pub fn nodes_in(&self, topology: &Topology, scope: Scope) -> Vec<u32> {
         let all = topology.endpoints(scope);
         all.into_iter()
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// The services of a node.
+    /// The services that a node serves.
     pub fn services_of(&self, node: u32) -> impl Iterator<Item = u32> {
         let Sizes {
             services, groups, ..
@@ -128,13 +128,13 @@
         (node % groups..services).step_by(groups as usize)
     }
 
-    /// The nodes of a service.
+    /// The nodes that serve a service.
     pub fn nodes_of(&self, service: u32) -> impl Iterator<Item = u32> {
         let Sizes { nodes, groups, .. } = self.sizes;
         (service % groups..nodes).step_by(groups as usize)
     }
 
-    /// What a node subscribes to.
+    /// The selectors to which a node subscribes: common resources and those of its services.
     pub fn selectors_of(&self, node: u32) -> Vec<Selector> {
         let services = self
             .services_of(node)
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The configuration of a node that starts: it follows the relays of its region, and falls back to the others.
+    /// The configuration of a node that starts: it follows the relays of its region and falls back to the others.
     pub fn node_config(&self, endpoint: u32, region: u16, now: f64) -> SubscriberConfig {
         let regional_relays = self
             .relays_by_region
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The seed of an endpoint's random numbers; a different one at each start.
+    /// The seed of an endpoint's random numbers, which differs between starts.
     fn seed_of(&self, endpoint: u32, now: f64) -> u64 {
         let start = now.to_bits().rotate_left(32) ^ (u64::from(endpoint) + 1);
         self.seed ^ start.wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -211,7 +211,7 @@
     endpoints.iter().map(|endpoint| PeerId(*endpoint)).collect()
 }
 
-/// The zone of a region for the machine with this index; zones are assigned round robin.
+/// The zone of a region for the machine with this index; zones are assigned in round-robin order.
 fn zone_in(zones: &[u16], region: usize, index: usize) -> u16 {
     let before: u16 = zones.iter().take(region).sum();
     let count = zones.get(region).copied().unwrap_or(1).max(1);
--- a/crates/emulator/src/control/links.rs
+++ b/crates/emulator/src/control/links.rs
@@ -1,21 +1,21 @@
-//! Properties of links: delay, loss, duplication, bandwidth, and whether frames are datagrams or parts of streams.
+//! Properties of links: delay, loss, duplication, bandwidth, and delivery as datagrams or streams.
 
 use super::topology::Distance;
 
 /// How frames are delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
-    /// Each frame by itself: it may be lost, duplicated and overtaken, as over UDP.
+    /// As over UDP: frames may be lost, duplicated and reordered.
     Datagrams,
-    /// In order between two endpoints, as over TCP: a lost frame delays itself and those behind it by a retransmission.
-    /// Frames sent to a process that has ended meanwhile are not delivered to its successor.
+    /// As over TCP: frames between two endpoints arrive in order, and a lost frame delays itself and later ones by a
+    /// retransmission. Frames sent to a process that has ended are not delivered to its successor.
     Streams {
         /// Seconds until a lost frame is retransmitted.
         retransmission_timeout: f64,
     },
 }
 
-/// A link of one kind.
+/// The properties of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     /// Minimum delay of a frame, in seconds.
@@ -28,7 +28,7 @@
     pub duplication: f64,
 }
 
-/// The links of a network.
+/// The properties of all links of a network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Links {
     /// Between endpoints of one zone.
@@ -37,9 +37,9 @@
     pub within_region: Link,
     /// Between regions.
     pub between_regions: Link,
-    /// What each endpoint can send, in bytes a second.
+    /// Uplink bandwidth of each endpoint, in bytes per second.
     pub bandwidth: f64,
-    /// Bytes of headers that each frame has beside its own; counted wherever bytes are.
+    /// Bytes of lower-layer headers per frame, which all counts of bytes include.
     pub overhead: usize,
     /// How frames are delivered.
     pub delivery: Delivery,
@@ -51,8 +51,8 @@
 const GIGABIT: f64 = 125e6;
 
 impl Default for Links {
-    /// Assumed round trips of 0.6 ms within a zone, 2 ms between zones and 80 ms between regions; one frame in a
-    /// thousand lost between regions.
+    /// Assumed mean round-trip times of 0.6 ms within a zone, 2 ms between zones and 80 ms between regions, and an assumed
+    /// loss of one frame in a thousand between regions.
     fn default() -> Self {
         let link = |min_delay, max_delay, loss| Link {
             min_delay,
@@ -72,7 +72,7 @@
 }
 
 impl Links {
-    /// The link between two endpoints that are so far apart.
+    /// The link between two endpoints at this distance.
     pub fn over(&self, distance: Distance) -> Link {
         match distance {
             Distance::WithinZone => self.within_zone,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The same fraction of frames lost on all links.
+    /// Sets the fraction of frames that are lost on all links.
     pub fn with_loss(mut self, loss: f64) -> Links {
         for link in [
             &mut self.within_zone,
--- a/crates/emulator/src/control/machine.rs
+++ b/crates/emulator/src/control/machine.rs
@@ -1,7 +1,7 @@
-//! Publishers, relays and nodes of [`reelfall_distribution`] as endpoints of a network, with the driver that carries out their
+//! Publishers, relays and nodes of [`reelfall_distribution`] as endpoints of a network, with the driver that executes their
 //! outputs. [`super::world`] starts and ends them.
 //!
-//! A [`Disk`] survives the process that writes it: the world takes it from a machine that ends and gives it to the next.
+//! A [`Disk`] survives the process that writes it: the world passes it from a machine that ends to its next process.
 
 use super::clock::Clock;
 use super::endpoint::{Endpoint, OutgoingFrame};
@@ -13,7 +13,7 @@
 use reelfall_distribution::subscriber::{Subscriber, SubscriberConfig, TooManySubscriptions};
 use std::collections::BTreeMap;
 
-/// The records that a machine has stored, compacted.
+/// The records that a machine has persisted, compacted to their latest state.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     changes: BTreeMap<Key, Change>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The records in the order in which the next process reads them.
+    /// The records in the order in which a restarted process reads them.
     fn records(&self) -> Vec<Record> {
         let changes = self.changes.values().cloned().map(Record::Put);
         let applied = self.applied.values().cloned().map(Record::Applied);
@@ -64,15 +64,15 @@
     pub name: Name,
     /// Its version.
     pub version: Version,
-    /// When, by the world's clock.
+    /// The simulation time at which it was applied, in seconds.
     pub at: f64,
 }
 
-/// A node of the fleet.
+/// A node of the fleet, as a subscriber of the distribution.
 pub struct Node {
-    /// Its subscriber.
+    /// The state machine that receives changes.
     pub subscriber: Subscriber,
-    /// The changes that it has applied since they were last taken.
+    /// The changes that it has applied since the last [`Machine::take_applied`].
     pub applied: Vec<AppliedChange>,
 }
 
@@ -82,12 +82,12 @@
     Node(Box<Node>),
 }
 
-/// A machine with its clock and its disk. All times in its interface are the world's.
+/// A machine with its clock and its disk. All times in its interface are simulation times.
 pub struct Machine {
     role: Role,
     clock: Clock,
     disk: Disk,
-    /// Number of sessions that ended, as upstream or as downstream.
+    /// Number of sessions with upstream or downstream peers that have ended.
     pub sessions_ended: u64,
 }
 
@@ -126,7 +126,7 @@
             .iter()
             .filter(|selector| !disk.coverage.contains_key(*selector))
         {
-            // A subscription past the bound is left out; the check of applied resources finds it.
+            // A subscription beyond the limit is skipped; the check that nodes agree with the publisher detects it.
             let _ = subscriber.subscribe(selector.clone());
         }
         let node = Node {
@@ -136,7 +136,7 @@
         Machine::new(Role::Node(Box::new(node)), clock, disk)
     }
 
-    /// Ends the machine; its disk remains.
+    /// Ends the machine and returns its disk.
     pub fn into_disk(self) -> Disk {
         self.disk
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The changes that this node has applied since the last call.
+    /// Takes the changes that this node has applied since the last call.
     pub fn take_applied(&mut self) -> Vec<AppliedChange> {
         match &mut self.role {
             Role::Node(node) => std::mem::take(&mut node.applied),
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Its own clock.
+    /// The machine's clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Calls the publisher, if this is one, by its own clock, and carries out its outputs.
+    /// Calls the publisher, if this is one, with the time of its local clock, and executes its outputs.
     pub fn with_publisher<R>(
         &mut self,
         now: f64,
@@ -192,14 +192,14 @@
         let mut outputs = Vec::new();
         let result = call(publisher, local, &mut outputs);
         publisher.poll(local, &mut outputs);
-        self.carry_out(now, outputs, outgoing);
+        self.execute_outputs(now, outputs, outgoing);
         Some(result)
     }
 
-    /// Adds a subscription of a node; does nothing at other machines.
+    /// Adds a subscription of a node; does nothing if this is no node.
     ///
     /// # Errors
-    /// If the node has too many subscriptions already.
+    /// If the node already has the maximum number of subscriptions.
     pub fn subscribe(
         &mut self,
         now: f64,
@@ -213,28 +213,33 @@
         let mut outputs = Vec::new();
         node.subscriber.subscribe(selector)?;
         node.subscriber.poll(local, &mut outputs);
-        self.carry_out(now, outputs, outgoing);
+        self.execute_outputs(now, outputs, outgoing);
         Ok(())
     }
 
-    /// The staleness that a node states of its configuration, in seconds; none if this is no node.
+    /// The staleness of its configuration that a node reports, in seconds; `None` if this is no node.
     pub fn staleness(&self, now: f64) -> Option<f64> {
         Some(self.as_node()?.subscriber.staleness(self.clock.local(now)))
     }
 
-    /// Carries out outputs in their order, and then those that follow from them.
-    fn carry_out(&mut self, now: f64, outputs: Vec<Output>, outgoing: &mut Vec<OutgoingFrame>) {
+    /// Executes outputs in order, and then the outputs that result from them.
+    fn execute_outputs(
+        &mut self,
+        now: f64,
+        outputs: Vec<Output>,
+        outgoing: &mut Vec<OutgoingFrame>,
+    ) {
         let mut outputs = outputs;
         while !outputs.is_empty() {
             let mut further = Vec::new();
             for output in outputs {
-                self.carry_out_one(now, output, outgoing, &mut further);
+                self.execute_output(now, output, outgoing, &mut further);
             }
             outputs = further;
         }
     }
 
-    fn carry_out_one(
+    fn execute_output(
         &mut self,
         now: f64,
         output: Output,
@@ -292,13 +297,13 @@
             Role::Node(node) => node.subscriber.receive(local, from, frame, &mut outputs),
         }
         self.poll_role(local, &mut outputs);
-        self.carry_out(now, outputs, outgoing);
+        self.execute_outputs(now, outputs, outgoing);
     }
 
     fn poll(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>) {
         let mut outputs = Vec::new();
         self.poll_role(self.clock.local(now), &mut outputs);
-        self.carry_out(now, outputs, outgoing);
+        self.execute_outputs(now, outputs, outgoing);
     }
 
     fn next_wakeup(&self) -> f64 {
--- a/crates/emulator/src/control/membership.rs
+++ b/crates/emulator/src/control/membership.rs
@@ -1,7 +1,7 @@
-//! Cluster members of [`reelfall_cluster`] as endpoints of a network, for the scale runs of membership.
+//! Cluster members of [`reelfall_cluster`] as endpoints of a network, for scale runs of membership.
 //!
-//! A fleet of thousands takes minutes to discover its members, which does not matter where the steady state is measured.
-//! So each node starts with the datagrams in which an earlier member would send it all others ([`Roster`]).
+//! A fleet of thousands of nodes takes minutes to discover its members. To measure the steady state without this delay, each
+//! node starts with the datagrams in which an existing member would send it all others ([`Roster`]).
 
 mod isolated;
 mod roster;
@@ -17,13 +17,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of peers of which a node remembers clocks and incarnations.
+/// Maximum number of peers whose clocks and incarnations a node remembers.
 pub const MAX_REMEMBERED: usize = MAX_PEERS;
 
-/// Number of servers that each node lists; it bounds how many can be ejected, which does not happen here.
+/// Number of servers in each node's endpoint lists; it bounds ejections, of which there are none here.
 const LISTED_SERVERS: usize = 20;
 
-/// One process of a node.
+/// A process of a node.
 pub struct Member {
     endpoint: u32,
     roster: Rc<Roster>,
@@ -32,13 +32,13 @@
     /// Whether it starts with the members of the roster.
     is_introduced: bool,
     fleet: Option<Fleet>,
-    /// When the ban of each server was received.
+    /// When the node first received the ban of each server.
     bans: BTreeMap<String, f64>,
     declared_dead: u64,
 }
 
 impl Member {
-    /// The first process of a node; it starts with the members of the roster.
+    /// The first process of a node, which knows all members of the roster when it starts.
     pub fn new(endpoint: u32, roster: Rc<Roster>, starts_at: f64) -> Member {
         let seed = roster.seed_of(endpoint);
         Member {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A later process of a node; it knows the seed nodes alone.
+    /// A restarted process of a node, which knows only the seed nodes.
     pub fn restarted(
         endpoint: u32,
         roster: Rc<Roster>,
@@ -83,7 +83,7 @@
         self.declared_dead
     }
 
-    /// Number of verdicts that it has ignored since they had no proof of their age.
+    /// Number of verdicts that it has ignored because their age was not proven.
     pub fn unproven_verdicts(&self) -> u64 {
         self.fleet
             .as_ref()
@@ -106,7 +106,7 @@
         self.flush(now, outgoing);
     }
 
-    /// The process's own clock, which starts at 0.
+    /// The time of the process's clock, which starts at 0.
     fn clock(&self, now: f64) -> f64 {
         (now - self.starts_at).max(0.0)
     }
@@ -128,7 +128,7 @@
         self.fleet = Some(fleet);
     }
 
-    /// Sends the datagrams of the fleet and records its events.
+    /// Sends the pending datagrams of the node and records its events.
     fn flush(&mut self, now: f64, outgoing: &mut Vec<OutgoingFrame>) {
         let Some(fleet) = &mut self.fleet else { return };
         while let Some(datagram) = fleet.next_datagram() {
--- a/crates/emulator/src/control/membership/isolated.rs
+++ b/crates/emulator/src/control/membership/isolated.rs
@@ -1,4 +1,4 @@
-//! One member outside of a network, whose peers exist as datagrams alone. The scale runs measure its memory and processor
+//! One member outside of a network, whose peers exist only as datagrams. The scale runs measure its memory and processor
 //! time.
 
 use super::roster::{empty_header, node, Roster};
@@ -8,7 +8,7 @@
 use reelfall_cluster::wire::DatagramWriter;
 use std::rc::Rc;
 
-/// Peers of a node, with one datagram of each to it.
+/// One datagram to a node from each of its peers.
 pub struct PeerDatagrams {
     roster: Rc<Roster>,
     endpoint: u32,
@@ -16,7 +16,7 @@
 }
 
 impl PeerDatagrams {
-    /// This many peers of one node.
+    /// Creates the datagrams of this many peers.
     pub fn new(count: u32, seed: u64) -> Rc<PeerDatagrams> {
         let roster = Roster::new(count + 1, seed);
         let receiver_tag = roster.seed_of(count).incarnation_tag;
@@ -36,12 +36,12 @@
     }
 }
 
-/// One node that knows its peers and has received a datagram of each, outside of a network.
+/// A node outside of a network that knows its peers and has received a datagram of each.
 pub struct IsolatedMember {
     member: Member,
     peers: Rc<PeerDatagrams>,
     now: f64,
-    /// Number of datagrams of peers that it has accepted.
+    /// Number of the initial datagrams that it has accepted.
     pub accepted_datagrams: u64,
 }
 
@@ -64,12 +64,13 @@
         self.member.peer_count()
     }
 
-    /// Delivers the same datagrams once more; returns how many it accepted.
+    /// Delivers the initial datagrams again; returns how many were accepted.
     pub fn replay(&mut self) -> u64 {
         deliver(&mut self.member, self.now, &self.peers.datagrams)
     }
 
-    /// Lets time pass in which no peer responds. After a second or two it begins to suspect its peers.
+    /// Runs the node's timers for this many seconds while no peer responds. After one or two seconds it begins to suspect its
+    /// peers.
     pub fn run_alone(&mut self, seconds: f64) {
         let end = self.now + seconds;
         let mut outgoing = Vec::new();
@@ -91,7 +92,7 @@
     }
 }
 
-/// Delivers datagrams to a node and drops its responses; returns how many it accepted.
+/// Delivers datagrams to a node and drops its responses; returns how many were accepted.
 fn deliver(member: &mut Member, now: f64, datagrams: &[Vec<u8>]) -> u64 {
     let before = member.accepted_datagrams();
     let mut responses = Vec::new();
--- a/crates/emulator/src/control/membership/roster.rs
+++ b/crates/emulator/src/control/membership/roster.rs
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// Port of all nodes; each has an address of its own.
+/// Port of all nodes, which have different IP addresses.
 const PORT: u16 = 7400;
 
 /// The address of a node.
@@ -31,7 +31,7 @@
     format!("node-{endpoint}")
 }
 
-/// The header of a datagram without content.
+/// The header of a datagram without members and updates.
 pub(super) fn empty_header(from: Node, to_tag: u64, sequence: u64, clock_us: u64) -> Header {
     Header {
         from,
@@ -47,7 +47,7 @@
     }
 }
 
-/// All nodes of a fleet, with the configuration and the key that they share.
+/// All nodes of a fleet, with their shared configuration and key.
 pub struct Roster {
     pub(super) nodes: Vec<NodeSeed>,
     pub(super) config: Config,
@@ -57,7 +57,7 @@
 /// The random values of one node.
 #[derive(Clone, Copy)]
 pub(super) struct NodeSeed {
-    /// Distinguishes processes of one name and incarnation number.
+    /// Distinguishes processes that have the same name and incarnation number.
     pub(super) incarnation_tag: u64,
     /// The seed of its random numbers.
     pub(super) seed: u64,
@@ -100,8 +100,8 @@
         node.copied().unwrap_or(unknown)
     }
 
-    /// The datagrams in which a member that nobody else knows sends a node all others. Their order is random for each node,
-    /// since a node probes members in the order in which it has learned of them.
+    /// The datagrams in which a fictitious member sends all members to a node. Members are in a random order that differs
+    /// between nodes, since a node probes members in the order in which it has learned of them.
     pub(super) fn introductions(&self, seed: u64) -> Vec<Vec<u8>> {
         let introducer = node(u32::from_be_bytes([0, u8::MAX, u8::MAX, u8::MAX]), 2);
         let mut remaining = self.shuffled(seed);
@@ -135,7 +135,7 @@
     }
 }
 
-/// The seed nodes, which a node contacts to join: in different regions.
+/// The seed nodes, which a node contacts to join: the first, middle and last node, in different regions.
 fn seeds(node_count: u32) -> impl Iterator<Item = u32> {
     [0, node_count / 2, node_count.saturating_sub(1)].into_iter()
 }
--- a/crates/emulator/src/control/network.rs
+++ b/crates/emulator/src/control/network.rs
@@ -1,11 +1,10 @@
-//! The network of a control side in virtual time: runs the processes of all endpoints and carries the frames between them.
-//! Tests and the scale runs start processes here and let time pass.
+//! A network in virtual time, which runs the processes of all endpoints and delivers frames between them.
 //!
 //! | state of a process | owner | ends |
 //! | --- | --- | --- |
 //! | running: receives frames, is polled | the endpoint's slot | killed or frozen |
-//! | frozen: frames wait in its inbox, it is not polled | the slot | thawed, which delivers them, or killed |
-//! | ended: frames to it are lost | the slot | started again |
+//! | frozen: frames are queued in its inbox, it is not polled | the slot | thawed, which delivers the queued frames, or killed |
+//! | ended: frames to it are dropped | the slot | started again |
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -27,19 +26,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
 
-/// Minimum time between two polls of an endpoint, in seconds: one that is always due can't stop the clock.
+/// Minimum time between two polls of an endpoint, in seconds, so that time advances even if an endpoint is always due.
 pub const POLL_INTERVAL: f64 = 0.000_5;
-/// Maximum number of datagrams that wait for a frozen endpoint; what a socket's default buffer holds of small ones.
+/// Maximum number of datagrams that are queued for a frozen endpoint: as many small ones as a socket's default buffer holds.
 pub const MAX_FROZEN_INBOX: usize = 200;
 
-/// Frames that were not delivered, by cause.
+/// Number of frames that were not delivered, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Undelivered {
     /// Lost by a link.
     pub lost: u64,
-    /// Stopped by a partition.
+    /// Dropped by a partition.
     pub partitioned: u64,
-    /// Sent to an endpoint that does not run, or that has started again since.
+    /// Sent to an endpoint that did not run or, with streams, that was restarted in the meantime.
     pub ended: u64,
     /// Sent to a frozen endpoint whose inbox was full.
     pub overflowed: u64,
@@ -50,7 +49,7 @@
     Wakeup { endpoint: u32 },
 }
 
-/// A frame reaches an endpoint.
+/// The arrival of a frame at an endpoint.
 struct Arrival {
     to: u32,
     /// The incarnation of the endpoint when the frame was sent.
@@ -58,7 +57,7 @@
     received: ReceivedFrame,
 }
 
-/// Endpoints, the links between them, and the queue of what is due.
+/// Endpoints, the links between them, and the event queue.
 pub struct Network<E> {
     topology: Topology,
     links: Links,
@@ -72,12 +71,12 @@
     last_arrivals: HashMap<Stream, f64>,
     undelivered: Undelivered,
     accounting_since: f64,
-    /// Buffer for the frames that a process sends, empty between calls.
+    /// Buffer for the frames that a process sends; empty between calls.
     outgoing: Vec<OutgoingFrame>,
 }
 
 impl<E: Endpoint> Network<E> {
-    /// A network at time 0 in which no process runs yet.
+    /// Creates a network at time 0 without processes.
     pub fn new(topology: Topology, links: Links, seed: u64) -> Network<E> {
         let slots = (0..topology.len()).map(|_| Slot::empty()).collect();
         Network {
@@ -96,27 +95,27 @@
         }
     }
 
-    /// Measures processor time by this clock. It has no influence on what happens.
+    /// Measures processor time with this clock. The measurements do not influence the simulation.
     pub fn measure_cpu(&mut self, clock: CpuClock) {
         self.cpu_clock = Some(clock);
     }
 
-    /// The time, in seconds.
+    /// The simulation time, in seconds.
     pub fn now(&self) -> f64 {
         self.now
     }
 
-    /// Where endpoints are.
+    /// The sites of endpoints.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// Frames that were not delivered so far.
+    /// Counts of frames that were not delivered so far.
     pub fn undelivered(&self) -> Undelivered {
         self.undelivered
     }
 
-    /// Starts a process at an endpoint; one that runs there is replaced.
+    /// Starts a process at an endpoint and replaces any that is running there.
     pub fn start(&mut self, endpoint: u32, process: E) {
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
@@ -131,7 +130,7 @@
         self.schedule_wakeup(endpoint);
     }
 
-    /// Ends the process at an endpoint, without notice to the others.
+    /// Ends and returns the process at an endpoint, without notifying others.
     pub fn kill(&mut self, endpoint: u32) -> Option<E> {
         let slot = self.slots.get_mut(endpoint as usize)?;
         slot.inbox.clear();
@@ -139,14 +138,14 @@
         slot.process.take()
     }
 
-    /// Suspends the process at an endpoint; datagrams wait in its inbox, up to [`MAX_FROZEN_INBOX`].
+    /// Suspends the process at an endpoint. Frames to it are queued; datagrams only up to [`MAX_FROZEN_INBOX`].
     pub fn freeze(&mut self, endpoint: u32) {
         if let Some(slot) = self.slots.get_mut(endpoint as usize) {
             slot.is_frozen = true;
         }
     }
 
-    /// Resumes the process at an endpoint: first it receives the frames of its inbox, then it does what is due.
+    /// Resumes a frozen process: it receives the queued frames, then its due timers fire.
     pub fn thaw(&mut self, endpoint: u32) {
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
@@ -159,18 +158,18 @@
         self.schedule_wakeup(endpoint);
     }
 
-    /// The process at an endpoint, unless it has ended.
+    /// The process at an endpoint; `None` if it has ended.
     pub fn endpoint(&self, endpoint: u32) -> Option<&E> {
         self.slots.get(endpoint as usize)?.process.as_ref()
     }
 
-    /// All processes that have not ended, by the numbers of their endpoints.
+    /// All processes that have not ended, with the numbers of their endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = (u32, &E)> {
         let numbered = (0u32..).zip(&self.slots);
         numbered.filter_map(|(endpoint, slot)| Some((endpoint, slot.process.as_ref()?)))
     }
 
-    /// Calls a process that runs, and sends the frames that the call asks for.
+    /// Calls a running process, and sends the frames that it returns in `outgoing`. `None` if no process is running there.
     pub fn with<R>(
         &mut self,
         endpoint: u32,
@@ -205,8 +204,8 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds, which is checked every `step` seconds; how long it took. `None` if it does not hold
-    /// within `timeout` seconds.
+    /// Runs until a condition holds, which is checked every `step` seconds. Returns how long that took, in seconds, or `None` if
+    /// the condition does not hold within `timeout` seconds.
     pub fn run_until(
         &mut self,
         timeout: f64,
@@ -255,7 +254,7 @@
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
             return;
         };
-        // A wakeup that an earlier one replaced, or of a process that has ended.
+        // Ignores a wakeup that was replaced by an earlier one, or whose process has ended.
         if slot.scheduled_wakeup > now {
             return;
         }
@@ -271,7 +270,7 @@
         }
     }
 
-    /// Schedules the next wakeup of an endpoint, unless one that is as early is in the queue.
+    /// Schedules the next wakeup of an endpoint, unless one is already queued that is due no later.
     fn schedule_wakeup(&mut self, endpoint: u32) {
         let now = self.now;
         let Some(slot) = self.slots.get_mut(endpoint as usize) else {
--- a/crates/emulator/src/control/network/accounting.rs
+++ b/crates/emulator/src/control/network/accounting.rs
@@ -1,4 +1,4 @@
-//! Traffic and processor time of a [`Network`]'s endpoints, for the reports of scale runs and the check of budgets.
+//! Traffic and processor time of a [`Network`]'s endpoints, for reports of scale runs and checks of budgets.
 
 use super::Network;
 use crate::control::account::{Account, Usage};
@@ -10,7 +10,7 @@
         self.slots.get(endpoint as usize).map(|slot| &slot.account)
     }
 
-    /// Resets all accounts.
+    /// Resets the accounts of all endpoints, and starts a new accounting period.
     pub fn reset_accounts(&mut self) {
         self.accounting_since = self.now;
         for slot in &mut self.slots {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// What some endpoints used since the last reset.
+    /// The usage of a set of endpoints since the last reset.
     pub fn usage(&self, endpoints: impl IntoIterator<Item = u32>) -> Usage {
         let accounts = endpoints
             .into_iter()
--- a/crates/emulator/src/control/network/frames.rs
+++ b/crates/emulator/src/control/network/frames.rs
@@ -1,4 +1,4 @@
-//! Sending in a [`Network`]: a frame waits for the sender's uplink, then its link loses, duplicates or delays it.
+//! Sending in a [`Network`]: a frame is queued at the sender's uplink, then its link delays, drops or duplicates it.
 
 use super::{Arrival, Event, Network};
 use crate::control::endpoint::{Endpoint, OutgoingFrame, ReceivedFrame};
@@ -8,14 +8,14 @@
 /// Maximum number of retransmissions of a lost frame of a stream.
 const MAX_RETRANSMISSIONS: u32 = 16;
 
-/// The frames from one endpoint to another, if they are delivered in order.
+/// An ordered stream of frames from one endpoint to another.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Stream {
     from: u32,
     to: u32,
 }
 
-/// A frame that leaves the uplink of its sender.
+/// A frame that has passed its sender's uplink.
 struct InTransit {
     to: u32,
     departure: f64,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Bytes that a frame takes with its headers.
+    /// Size of a frame including lower-layer headers, in bytes.
     pub(super) fn bytes_on_link(&self, frame: &[u8]) -> u64 {
         (frame.len() + self.links.overhead) as u64
     }
 
-    /// When the last of these bytes leaves the uplink.
+    /// Queues this many bytes at the sender's uplink; returns when the last one has been sent.
     fn departure(&mut self, from: u32, bytes: u64) -> f64 {
         let duration = bytes as f64 / self.links.bandwidth;
         let Some(slot) = self.slots.get_mut(from as usize) else {
@@ -69,7 +69,7 @@
         slot.uplink_free_at
     }
 
-    /// Whether an event of this probability happens; one of probability 0 takes no random number.
+    /// Samples whether an event of this probability occurs. Probability 0 draws no random number.
     fn happens(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.random::<f64>() < probability
     }
@@ -116,7 +116,7 @@
             to,
         };
         let last = self.last_arrivals.entry(stream).or_insert(at);
-        // Frames of one instant are delivered in the order in which they were scheduled.
+        // Frames that arrive at the same time are delivered in the order in which they were scheduled.
         at = at.max(*last);
         *last = at;
         self.schedule_arrival(at, to, received);
--- a/crates/emulator/src/control/network/partitions.rs
+++ b/crates/emulator/src/control/network/partitions.rs
@@ -1,22 +1,22 @@
-//! Partitions of a [`Network`]: which endpoints can't reach which. They are checked when a frame is sent.
+//! Partitions of a [`Network`]: sets of endpoints that can't reach each other. They are checked when a frame is sent.
 
 use super::Network;
 use crate::control::endpoint::Endpoint;
 use crate::control::topology::Scope;
 
-/// Nothing passes from one set of endpoints to another.
+/// A one-way partition: frames from one set of endpoints to another are dropped.
 pub(super) struct Partition {
     from: Scope,
     to: Scope,
 }
 
 impl<E: Endpoint> Network<E> {
-    /// From now on nothing that is sent passes from one set to another.
+    /// Drops all frames that are sent from one set to another from now on.
     pub fn partition(&mut self, from: Scope, to: Scope) {
         self.partitions.push(Partition { from, to });
     }
 
-    /// From now on nothing passes between two sets, either way.
+    /// Drops all frames between two sets from now on, in both directions.
     pub fn partition_both(&mut self, one: Scope, other: Scope) {
         self.partition(one, other);
         self.partition(other, one);
--- a/crates/emulator/src/control/report.rs
+++ b/crates/emulator/src/control/report.rs
@@ -1,7 +1,7 @@
-//! The figures of a scale run, as they are written to and read from JSON.
+//! The JSON format of the results of scale runs.
 //!
-//! The scale runs of this package and of the capacity package write these types, and the tables of the documentation are
-//! generated from them. Names of fields are those of the JSON.
+//! The scale runs of this package and of the capacity package write these types, and tables in the documentation are
+//! generated from them. Field names are the names in the JSON.
 
 use super::account::Usage;
 use super::scenarios::Outcome;
@@ -18,24 +18,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Nodes of the fleet.
+    /// Number of nodes of the fleet.
     pub nodes: usize,
-    /// Servers of all services together.
+    /// Number of servers of all services.
     pub servers: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Routes of all services together.
+    /// Number of routes of all services.
     pub routes: usize,
-    /// Tenants of all services together.
+    /// Number of tenants of all services.
     pub tenants: usize,
-    /// Configuration changes a day.
+    /// Configuration changes per day.
     pub changes: usize,
-    /// Server restarts a day.
+    /// Server restarts per day.
     pub restarts: usize,
 }
 
 impl Size {
-    /// The size that the system has to carry in two years.
+    /// The size that the system has to support in two years.
     pub const TARGET: Size = Size {
         nodes: 6_000,
         servers: 50_000,
@@ -90,53 +90,53 @@
     Restarts,
 }
 
-/// What a run was measured with.
+/// How the figures of a run were obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// Control sides of nodes on loopback sockets, many in one process.
+    /// The control planes of many nodes in one process, on loopback sockets.
     HollowNodes,
-    /// Processes of the program, which serve requests.
+    /// Processes of the production program, which serve requests.
     RealNodes,
-    /// The same code in virtual time.
+    /// The production code in virtual time.
     VirtualTime,
-    /// One computation, such as reading a settings file.
+    /// A single computation, such as reading a settings file.
     Computation,
 }
 
-/// Traffic of one kind of message, of one node.
+/// Traffic of one kind of message at one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// The kind, such as `gossip` or `list`.
+    /// The kind of message, such as `gossip` or `list`.
     pub kind: String,
-    /// Bytes received a second.
+    /// Bytes received per second.
     pub bytes_in: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_out: f64,
-    /// Messages received a second.
+    /// Messages received per second.
     pub messages_in: f64,
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_out: f64,
 }
 
-/// What the control side costs one node, as a mean over the nodes of a run.
+/// The cost of the control plane for one node, as a mean over the nodes of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PerNode {
     /// Traffic by kind of message.
     pub traffic: Vec<Traffic>,
-    /// Most bytes received and sent by any node within a second.
+    /// Maximum number of bytes received and sent by any node within a second.
     pub peak_bytes: f64,
-    /// Processor time, in seconds a second.
+    /// Processor time, in seconds per second.
     pub cpu: f64,
-    /// Memory, in bytes, of a process that did nothing else; `None` where there was none of its own.
+    /// Memory of the control plane, in bytes; `None` if it could not be measured separately.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub memory: Option<f64>,
 }
 
 impl PerNode {
-    /// The figures of nodes that sent and received messages of one kind.
+    /// The costs of nodes whose traffic consists of one kind of message.
     pub fn of(kind: &str, usage: &Usage, memory: Option<f64>) -> PerNode {
         let traffic = Traffic {
             kind: kind.to_owned(),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Bytes that a node received and sent per second.
+    /// Total bytes received and sent per second.
     pub fn bytes(&self) -> f64 {
         self.traffic
             .iter()
@@ -162,55 +162,55 @@
     }
 }
 
-/// Latencies of requests through a real node, at rest and while configuration changes.
+/// Latencies of requests through a production node, at rest and during configuration changes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestTimes {
-    /// Without load on the control side.
+    /// While there are no configuration changes.
     pub at_rest: Times,
-    /// While changes are applied.
+    /// While configuration changes are applied.
     pub under_changes: Times,
 }
 
-/// What each control machine used, as a mean.
+/// Mean resource usage of a control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Bytes received a second.
+    /// Bytes received per second.
     pub bytes_in: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_out: f64,
-    /// Processor time, in seconds a second.
+    /// Processor time, in seconds per second.
     pub cpu: f64,
     /// Memory, in bytes.
     pub memory: f64,
 }
 
-/// The figures of a scenario of the distribution, beside those that all runs have.
+/// Additional figures of a run that is a scenario of configuration distribution.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Played {
-    /// The scenario and its parameters.
+    /// Description of the scenario with its parameters.
     pub title: String,
-    /// Which time has a budget.
+    /// Which measured time is subject to a budget.
     pub judged_by: JudgedBy,
-    /// Time until a node was up to date, once it was connected again.
+    /// Time from the reconnection or restart of nodes until they were up to date.
     pub caught_up: Option<Times>,
-    /// Most bytes that any node received and sent within [`LONG_WINDOW`](super::account::LONG_WINDOW).
+    /// Maximum number of bytes that any node received and sent within [`LONG_WINDOW`](super::account::LONG_WINDOW).
     pub peak_bytes_10s: f64,
-    /// How often a node had not applied a change at the end.
+    /// Number of pairs of a node and a change that the node had not applied at the end.
     pub missing: u64,
-    /// Number of violations of invariants: versions that did not increase, nodes that differ from the publisher at the end,
-    /// nodes that exceeded their bandwidth.
+    /// Number of violations of invariants, such as versions that did not increase, nodes that differ from the publisher at the
+    /// end, and nodes that exceeded their bandwidth.
     pub faults: u64,
-    /// The staleness that nodes stated, if it was compared with the true one.
+    /// Comparison of the staleness that nodes reported with the actual one, if it was made.
     pub ages: Option<Ages>,
-    /// What control machines used.
+    /// Mean usage of the control machines.
     pub control: Control,
 }
 
 impl Played {
-    /// The figures of an outcome, with the memory of one control machine in bytes.
+    /// The figures of an outcome. `control_memory` is the memory of one control machine, in bytes.
     pub fn of(title: String, outcome: &Outcome, control_memory: f64) -> Played {
         let Usage {
             bytes_in,
@@ -240,36 +240,36 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Its name, such as `quiet`, `sweep` or the name of a scenario.
+    /// The name of the run, such as `quiet`, `sweep` or the name of a scenario.
     pub name: String,
-    /// What it was measured with.
+    /// How the figures were obtained.
     pub source: Source,
-    /// The size of the system.
+    /// The size of the emulated system.
     pub size: Size,
-    /// Its duration, in seconds of its own clock.
+    /// Duration of the run, in seconds of its own clock.
     pub seconds: f64,
-    /// What the control side cost each node.
+    /// Mean cost of the control plane for a node.
     pub per_node: PerNode,
     /// Time until nodes had applied a change.
     pub in_force: Option<Times>,
     /// Latencies of requests.
     pub requests: Option<RequestTimes>,
-    /// Length of what a computation read, in bytes.
+    /// Length of the input of a computation, in bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub read_bytes: Option<u64>,
-    /// The figures of the scenario, if it is one of the distribution.
+    /// Additional figures, if the run is a scenario of configuration distribution.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub played: Option<Played>,
 }
 
-/// Whether points bend away from a line: the t statistic of a quadratic term.
+/// A test for curvature: the t statistic of a quadratic term that is added to the line.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bend {
-    /// The quadratic term over its standard error.
+    /// The quadratic coefficient divided by its standard error.
     pub t: f64,
-    /// The bound beyond which it is a bend.
+    /// The bound of |t| beyond which the curvature is significant.
     pub bound: f64,
-    /// Whether it is a bend.
+    /// Whether the curvature is significant.
     pub bent: bool,
 }
 
@@ -278,59 +278,59 @@
 pub struct Projection {
     /// The size on the line's axis.
     pub at: f64,
-    /// The figure there.
+    /// The extrapolated figure.
     pub figure: f64,
-    /// The error that follows from the slope's standard error at this distance from the points.
+    /// Its standard error, which follows from that of the slope and the distance from the measured points.
     pub standard_error: f64,
 }
 
-/// A straight line through the figures of a sweep.
+/// A straight line fitted to the figures of a sweep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
     /// The axis that was swept.
     pub axis: Axis,
-    /// The figure, with its unit.
+    /// The name of the figure, with its unit.
     pub figure: String,
-    /// Sizes on the axis and the figure there.
+    /// Pairs of a size on the axis and the figure measured there.
     pub points: Vec<(f64, f64)>,
-    /// The figure at zero.
+    /// The line's value at size 0.
     pub intercept: f64,
-    /// Growth of the figure for one more on the axis.
+    /// Growth of the figure per unit on the axis.
     pub slope: f64,
     /// Standard error of the slope.
     pub standard_error: f64,
-    /// The residuals show a bend: the line must not be extrapolated.
+    /// Whether the residuals show curvature, so that the line must not be extrapolated.
     pub bent: bool,
-    /// The figure less the line, point by point.
+    /// The difference of the figure from the line at each point.
     #[serde(default)]
     pub residuals: Vec<f64>,
-    /// The test for a bend.
+    /// The test for curvature.
     #[serde(default)]
     pub bend: Option<Bend>,
-    /// The line at the target; `None` if it is not extrapolated.
+    /// The line's value at the target size; `None` if it is not extrapolated.
     #[serde(default)]
     pub projection: Option<Projection>,
 }
 
-/// All figures of one invocation.
+/// The results of scale runs of one commit and seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// [`SCHEMA`].
+    /// Version of the format, [`SCHEMA`].
     pub schema: u32,
     /// The commit that was measured.
     pub commit: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: usize,
-    /// Single runs.
+    /// The runs.
     pub runs: Vec<Run>,
-    /// Lines through the sweeps.
+    /// Lines fitted to sweeps.
     pub slopes: Vec<Slope>,
 }
 
 impl Report {
-    /// Adds runs; a run replaces an earlier one of the same name and size.
+    /// Adds runs; a run replaces an earlier one with the same name and size.
     pub fn append(&mut self, runs: Vec<Run>) {
         for run in runs {
             let is_earlier = |other: &&mut Run| other.name == run.name && other.size == run.size;
--- a/crates/emulator/src/control/resources.rs
+++ b/crates/emulator/src/control/resources.rs
@@ -1,38 +1,38 @@
-//! The resources of a system: their names, and the lengths of their bodies.
+//! The resources of a system: their names and the lengths of their bodies.
 
 use reelfall_distribution::resource::Name;
 
-/// Bytes of a service's settings.
+/// Length of a service's settings, in bytes.
 const SETTINGS_BYTES: usize = 2_000;
-/// Bytes of a service's endpoint list.
+/// Length of a service's endpoint list, in bytes.
 const SERVERS_BYTES: usize = 1_000;
-/// Bytes of a route, as operators write it in a settings file.
+/// Length of a route in the format of a settings file, in bytes.
 const ROUTE_BYTES: usize = 90;
-/// Bytes of a tenant and its quota, as the platform's configuration has it.
+/// Length of a tenant with its quota in the format of the platform's configuration, in bytes.
 const TENANT_BYTES: usize = 42;
-/// The item of a tenant that contains its quota.
+/// The name of the item that contains a tenant's quota.
 const TENANT_ITEM: &str = "quota";
 
 /// One resource of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
-    /// A service's settings.
+    /// The settings of a service.
     Settings(u32),
-    /// A service's endpoint list.
+    /// The endpoint list of a service.
     Servers(u32),
-    /// A service's route.
+    /// A route of a service.
     Route {
         /// The service.
         service: u32,
-        /// Its number within the service.
+        /// Number of the route within the service.
         number: u32,
     },
-    /// A tenant, which nodes subscribe to at its first request.
+    /// A tenant, to which a node subscribes at the tenant's first request.
     Tenant(u32),
 }
 
 impl Resource {
-    /// Its name.
+    /// The name under which the resource is distributed.
     pub fn name(self) -> Name {
         match self {
             Resource::Settings(service) => Name::service(&service_name(service), "settings"),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The length of its body.
+    /// Length of the resource's body, in bytes.
     pub fn body_bytes(self) -> usize {
         match self {
             Resource::Settings(_) => SETTINGS_BYTES,
@@ -55,12 +55,12 @@
     }
 }
 
-/// A service's name.
+/// The name of the service with this number.
 pub fn service_name(service: u32) -> String {
     format!("service-{service}")
 }
 
-/// A tenant's name.
+/// The name of the tenant with this number.
 pub fn tenant_name(tenant: u32) -> String {
     format!("tenant-{tenant}")
 }
--- a/crates/emulator/src/control/restored.rs
+++ b/crates/emulator/src/control/restored.rs
@@ -1,7 +1,7 @@
-//! Publishers, relays and nodes that are restored from their records outside of a network. The scale runs measure the memory
-//! that they take.
+//! Publishers, relays and nodes that are restored from records, without a network. The scale runs measure their memory.
 //!
-//! The records themselves are not retained, unlike the disks of machines in a network ([`super::machine::Disk`]).
+//! Unlike the disks of machines in a network ([`super::machine::Disk`]), the records are not retained, so that they do not
+//! count as memory.
 
 use super::layout::{Layout, LayoutError};
 use super::resources::Resource;
@@ -15,7 +15,7 @@
 };
 use reelfall_distribution::subscriber::Subscriber;
 
-/// The fencing token of all changes.
+/// Fencing token of all changes.
 const TOKEN: u64 = 1;
 
 /// A machine that was restored.
@@ -29,7 +29,7 @@
 }
 
 impl RestoredMachine {
-    /// Number of its resources.
+    /// Number of resources that it has, or has applied if it is a node.
     pub fn resource_count(&self) -> usize {
         match self {
             RestoredMachine::Publisher(publisher) => publisher.log().changes().count(),
@@ -45,7 +45,7 @@
 }
 
 impl MachineRestorer {
-    /// For a system of these sizes.
+    /// Restores machines of a system of these sizes.
     ///
     /// # Errors
     /// If the sizes are invalid.
@@ -54,21 +54,21 @@
         Ok(MachineRestorer { layout })
     }
 
-    /// A publisher with all resources.
+    /// Restores a publisher with all resources.
     pub fn publisher(&self) -> RestoredMachine {
         let config = self.layout.publisher_config(0, 0.0);
         let publisher = Publisher::restore(config, self.all_records(), 0.0);
         RestoredMachine::Publisher(Box::new(publisher))
     }
 
-    /// A relay with all resources.
+    /// Restores a relay with all resources.
     pub fn relay(&self) -> RestoredMachine {
         let config = self.layout.relay_config(0, 0.0);
         let relay = Relay::restore(config, self.all_records(), 0.0);
         RestoredMachine::Relay(Box::new(relay))
     }
 
-    /// A node with its services and this many tenants.
+    /// Restores a node with the services of its group and this many tenants.
     pub fn node(&self, tenant_count: u32) -> RestoredMachine {
         let services = self
             .layout
@@ -82,7 +82,7 @@
         self.node_with(services.chain(tenants), selectors.chain(tenant_selectors))
     }
 
-    /// A node with all services.
+    /// Restores a node with all services.
     pub fn node_of_all_services(&self) -> RestoredMachine {
         let sizes = self.layout.sizes;
         let resources =
@@ -95,7 +95,7 @@
         resources: impl IntoIterator<Item = Resource>,
         selectors: impl IntoIterator<Item = Selector>,
     ) -> RestoredMachine {
-        // The node has applied the change that it has received last.
+        // The node has applied every change that it has received.
         let changes = initial_changes(resources)
             .flat_map(|change| [Record::Put(change.clone()), Record::Applied(change)]);
         let coverage = selectors
@@ -116,7 +116,7 @@
     }
 }
 
-/// The record that all changes of a selector up to a sequence number are known.
+/// A record that states that all changes of a selector up to a sequence number are known.
 fn coverage_through(selector: Selector, sequence: u64) -> Record {
     let version = Version {
         token: TOKEN,
--- a/crates/emulator/src/control/scenarios.rs
+++ b/crates/emulator/src/control/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the distribution and their outcomes. The scale runs and the tests call them with a [`World`].
+//! Scenarios of configuration distribution and their outcomes. The scale runs and the tests run them in a [`World`].
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -24,50 +24,51 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How long a scenario waits until nodes that are connected again are up to date, in seconds: a relay and then its nodes
-/// may each back off twice for their maximum.
+/// How long a scenario waits for nodes to be up to date, in seconds: a relay, and then its nodes, may each back off twice
+/// for their maximum.
 const CATCH_UP_TIMEOUT: f64 = 300.0;
-/// How often nodes are polled while they catch up, in seconds.
+/// Interval at which nodes are checked while they catch up, in seconds.
 const CATCH_UP_POLL_INTERVAL: f64 = 0.25;
 
 /// The outcome of a scenario.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The scenario and its parameters.
+    /// Description of the scenario with its parameters.
     pub name: String,
-    /// How long it took, in seconds.
+    /// Duration of the scenario, in seconds.
     pub seconds: f64,
-    /// What nodes used.
+    /// Usage of the nodes.
     pub nodes: Usage,
-    /// What control machines used.
+    /// Usage of the control machines.
     pub control: Usage,
-    /// Time from the request of a change until a node has applied it, over all changes and nodes.
+    /// Time from the request of a change until a node applied it, over all changes and nodes.
     pub apply_times: Option<Times>,
-    /// How often a node that ran when a change was published had not applied it at the end.
+    /// Number of pairs of a node and a change where the node ran when the change was published and had not applied it at the
+    /// end.
     pub missing: usize,
-    /// Time until a node was up to date, once it was connected again.
+    /// Time from the reconnection or restart of nodes until they were up to date.
     pub catch_up_times: Option<Times>,
-    /// The first violations of invariants.
+    /// The first violations of invariants, up to a limit.
     pub violations: Vec<Violation>,
     /// Number of all violations.
     pub violation_count: usize,
-    /// The staleness that nodes stated, if it was compared with the true one.
+    /// Comparison of the staleness that nodes reported with the actual one, if it was made.
     pub ages: Option<Ages>,
-    /// Which of its times has a budget.
+    /// Which of the times is subject to a budget.
     pub judged_by: JudgedBy,
 }
 
-/// Which time of a scenario has a budget.
+/// Which time of a scenario is subject to a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JudgedBy {
     /// From the request of a change until the last node has applied it.
     InForce,
-    /// From the time at which nodes are connected again until the last one is up to date.
+    /// From the reconnection or restart of nodes until the last one is up to date.
     CaughtUp,
-    /// From a tenant's first request at a node until the node has applied the tenant, for 99 of 100.
+    /// From a tenant's first request at a node until the node has applied the tenant, at the 99th percentile.
     FirstRequest,
-    /// None: bytes alone.
+    /// None; only traffic is subject to a budget.
     Bytes,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl ScenarioRun {
-    /// Starts a scenario: resets accounts and times.
+    /// Starts a scenario and resets accounts and recorded times.
     fn start(world: &mut World, name: impl Into<String>, judged_by: JudgedBy) -> ScenarioRun {
         world.take_apply_times();
         world.tenant_subscriptions.take_waits();
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Waits until all nodes are up to date, and checks the invariants.
+    /// Waits until all nodes are up to date, checks the invariants, and returns the outcome.
     fn end(self, world: &mut World) -> Outcome {
         let nodes: Vec<u32> = world.running_nodes().collect();
         catch_up(world, &nodes);
@@ -129,8 +130,8 @@
     }
 }
 
-/// Runs until these nodes are up to date; how long each took. The time of those that are not within [`CATCH_UP_TIMEOUT`] is
-/// the timeout.
+/// Runs until these nodes are up to date; returns how long each took. Nodes that are not up to date within
+/// [`CATCH_UP_TIMEOUT`] count with the elapsed time.
 fn catch_up(world: &mut World, nodes: &[u32]) -> Option<Times> {
     let started_at = world.network.now();
     let mut behind: BTreeSet<u32> = nodes.iter().copied().collect();
@@ -152,16 +153,16 @@
     }
 }
 
-/// Number of events at this rate per second.
+/// Number of events in this many seconds at this rate per second, at least 1.
 fn event_count(rate: f64, seconds: f64) -> u32 {
     (rate * seconds).round().max(1.0) as u32
 }
 
-/// Requests changes at an even rate per second.
+/// Requests changes at a constant rate per second.
 fn request_changes(world: &mut World, rate: f64, seconds: f64) {
     let count = event_count(rate, seconds);
     for _ in 0..count {
-        world.request_any_change();
+        world.request_random_change();
         world.run(seconds / f64::from(count));
     }
 }
--- a/crates/emulator/src/control/scenarios/failures.rs
+++ b/crates/emulator/src/control/scenarios/failures.rs
@@ -5,10 +5,10 @@
 use crate::control::topology::Scope;
 use crate::control::world::World;
 
-/// How long the nodes of a region are down before they start together, in seconds.
+/// How long the nodes of a region are down before they all start at once, in seconds.
 const REGION_DOWN_TIME: f64 = 30.0;
 
-/// All nodes of a region lose their disks and start at one instant.
+/// All nodes of a region lose their disks and start at once.
 pub fn region_cold_start(world: &mut World, region: u16) -> Outcome {
     let nodes = world
         .layout
@@ -28,7 +28,7 @@
     run.end(world)
 }
 
-/// Control machines end while changes are published, and start again later.
+/// Control machines end while changes are published, and restart later.
 pub fn control_machines_lost(
     world: &mut World,
     name: &str,
@@ -69,10 +69,11 @@
     run.end(world)
 }
 
-/// The publisher is partitioned with its region, and another one takes over; the last changes of the first may be lost.
+/// The publisher is partitioned together with its region, and another one takes over; the last changes of the first may be
+/// lost.
 ///
-/// The nodes of that region receive nothing from the other publisher until the partition ends, so that the time from then on
-/// is what counts.
+/// The nodes of that region receive nothing from the new publisher until the partition ends, so that catch-up times are
+/// measured from its end.
 pub fn publisher_partitioned(world: &mut World, rate: f64, seconds: f64) -> Outcome {
     let name = format!("the author apart for {seconds:.0} s");
     let mut run = ScenarioRun::start(world, name, JudgedBy::CaughtUp);
@@ -92,11 +93,11 @@
     run.end(world)
 }
 
-/// A change is reverted before all nodes have applied it; the times are those of the change that reverts it.
+/// A change is reverted before all nodes have applied it. The apply times are those of the reverting change.
 pub fn change_reverted(world: &mut World, after: f64) -> Outcome {
     let name = format!("a change taken back after {after:.0} s");
     let run = ScenarioRun::start(world, name, JudgedBy::InForce);
-    world.request_any_change();
+    world.request_random_change();
     world.run(after);
     if let Some(change) = world.latest_change() {
         world.take_apply_times();
@@ -110,7 +111,7 @@
     run.end(world)
 }
 
-/// Nodes of a place end while changes are published, and start again at one instant with their disks.
+/// The nodes of `scope` end while changes are published, and restart at once with their disks.
 pub fn nodes_lost(
     world: &mut World,
     place: &str,
--- a/crates/emulator/src/control/scenarios/load.rs
+++ b/crates/emulator/src/control/scenarios/load.rs
@@ -6,11 +6,11 @@
 use crate::control::times::Times;
 use crate::control::world::World;
 
-/// Duration of a burst, and of the start of all nodes, in seconds.
+/// Duration of a burst and of the start of all nodes, in seconds.
 const MINUTE: f64 = 60.0;
-/// Nodes that start together while all nodes start.
+/// Number of nodes that start at the same time in [`start_all`].
 const START_BATCH: u32 = 64;
-/// How long relays may take to receive all tenants that were published again, in seconds.
+/// How long relays may take to receive all republished tenants, in seconds.
 const REPUBLISH_TIMEOUT: f64 = 1_800.0;
 
 /// All nodes start within a minute.
@@ -27,7 +27,7 @@
     run.end(world)
 }
 
-/// Changes at an even rate per second.
+/// Changes at a constant rate per second.
 pub fn steady_changes(world: &mut World, title: &str, rate: f64, seconds: f64) -> Outcome {
     let name = format!("{title} for {seconds:.0} s");
     let run = ScenarioRun::start(world, name, JudgedBy::InForce);
@@ -55,7 +55,7 @@
     run.end(world)
 }
 
-/// Servers restart at an even rate per second: each restart is a change of its service's endpoint list.
+/// Servers restart at a constant rate per second; each restart is a change of its service's endpoint list.
 pub fn server_restarts(world: &mut World, rate: f64, seconds: f64) -> Outcome {
     let name = format!("{rate} restarts of servers a second for {seconds:.0} s, a change each");
     let run = ScenarioRun::start(world, name, JudgedBy::InForce);
@@ -68,7 +68,7 @@
     run.end(world)
 }
 
-/// First requests of tenants arrive at some nodes, at this rate per second and node.
+/// Requests of random tenants arrive at some nodes, at this rate per second and node.
 pub fn new_tenants(world: &mut World, nodes: &[u32], rate: f64, seconds: f64) -> Outcome {
     let name = format!(
         "{rate} tenants a second met anew by each of {} nodes for {seconds:.0} s",
@@ -79,14 +79,14 @@
     let count = (requests_per_node * nodes.len() as f64).round() as usize;
     for request in 0..count {
         if let Some(node) = nodes.get(request % nodes.len()) {
-            world.request_any_tenant(*node);
+            world.request_random_tenant(*node);
         }
         world.run(seconds / count as f64);
     }
     run.end(world)
 }
 
-/// All tenants are published again in batches, faster than relays of other regions receive them.
+/// All tenants are republished in batches, faster than relays in other regions can receive them.
 pub fn republish_tenants(world: &mut World, batch: u32, batches_per_second: f64) -> Outcome {
     let tenants = world.layout.sizes.tenants;
     let rate = f64::from(batch) * batches_per_second;
@@ -104,7 +104,7 @@
         }
         world.run(1.0 / batches_per_second);
     }
-    let elapsed = world.run_until(REPUBLISH_TIMEOUT, World::relays_have_all);
+    let elapsed = world.run_until(REPUBLISH_TIMEOUT, World::relays_are_up_to_date);
     run.catch_up_times = elapsed.map(|elapsed| Times {
         p50: elapsed,
         p99: elapsed,
--- a/crates/emulator/src/control/sizes.rs
+++ b/crates/emulator/src/control/sizes.rs
@@ -1,8 +1,8 @@
-//! The sizes of a system: numbers of nodes, control machines and resources.
+//! The sizes of a system: the numbers of nodes, control machines and resources.
 
 use super::resources::Resource;
 
-/// A service's settings and its endpoint list come before its routes.
+/// Number of a service's resources that precede its routes: its settings and its endpoint list.
 const RESOURCES_BEFORE_ROUTES: u32 = 2;
 
 /// The sizes of a system.
@@ -18,17 +18,17 @@
     pub relays: u32,
     /// Number of services.
     pub services: u32,
-    /// Number of groups of nodes: each service is served by the nodes of one group.
+    /// Number of groups of nodes; each service is served by the nodes of one group.
     pub groups: u32,
-    /// Number of routes that are resources of their own, over all services.
+    /// Number of routes that are separate resources, over all services.
     pub routes: u32,
-    /// Number of tenants that are resources.
+    /// Number of tenants that are separate resources.
     pub tenants: u32,
 }
 
 impl Sizes {
-    /// The target system: 18 control machines; each node serves 20 services, each service has 46 nodes. Its routes are in the
-    /// services' settings, its tenants are left out.
+    /// The target system: 18 control machines; each node serves 20 services, and each service has 46 nodes. Routes are part of
+    /// the services' settings; tenants are omitted.
     pub const TARGET: Sizes = Sizes {
         zones: &super::topology::TARGET_ZONES,
         nodes: 6_000,
@@ -40,9 +40,9 @@
         tenants: 0,
     };
 
-    /// Routes of the target system.
+    /// Number of routes of the target system.
     pub const TARGET_ROUTES: u32 = 74_000;
-    /// Tenants of the target system.
+    /// Number of tenants of the target system.
     pub const TARGET_TENANTS: u32 = 560_000;
 
     /// A small system for tests.
@@ -64,7 +64,7 @@
         RESOURCES_BEFORE_ROUTES + self.routes_of(service)
     }
 
-    /// A service's resource, by its index among those of the service.
+    /// The resource of a service with this index: settings, endpoint list, then routes.
     pub fn resource(&self, service: u32, index: u32) -> Resource {
         match index {
             0 => Resource::Settings(service),
@@ -76,20 +76,20 @@
         }
     }
 
-    /// The resources of a service.
+    /// All resources of a service.
     pub fn service_resources(&self, service: u32) -> impl Iterator<Item = Resource> + use<> {
         let sizes = *self;
         (0..self.resources_of_service(service)).map(move |index| sizes.resource(service, index))
     }
 
-    /// All resources.
+    /// All resources of the system.
     pub fn resources(&self) -> impl Iterator<Item = Resource> + use<> {
         let sizes = *self;
         let services = (0..self.services).flat_map(move |service| sizes.service_resources(service));
         services.chain((0..self.tenants).map(Resource::Tenant))
     }
 
-    /// Number of routes of a service; routes are spread evenly over services.
+    /// Number of routes of a service. Routes are spread evenly over services.
     fn routes_of(&self, service: u32) -> u32 {
         let services = self.services.max(1);
         self.routes / services + u32::from(service < self.routes % services)
--- a/crates/emulator/src/control/tenant_subscriptions.rs
+++ b/crates/emulator/src/control/tenant_subscriptions.rs
@@ -1,21 +1,20 @@
-//! Tenants that nodes subscribe to on demand, at the first request of each, and how long that request waits. The world
-//! records them.
+//! Subscriptions of nodes to tenants, which are made at the first request of a tenant, and how long that request waits.
 
 use super::resources::Resource;
 use reelfall_distribution::resource::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The tenants of each node, and the times of their first requests.
+/// The tenants of each node, and the waiting times of first requests.
 #[derive(Default)]
 pub struct TenantSubscriptions {
     tenants: BTreeMap<u32, BTreeSet<u32>>,
-    /// When the first request of a tenant arrived at a node that has not received the tenant yet.
+    /// When the first request of a tenant arrived, for tenants that the node has not applied yet.
     pending: BTreeMap<PendingRequest, f64>,
-    /// How long first requests waited, in seconds.
+    /// How long completed first requests have waited, in seconds.
     waits: Vec<f64>,
 }
 
-/// A tenant that a node has subscribed to and not received yet.
+/// A tenant that a node has subscribed to but not applied yet.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PendingRequest {
     node: u32,
@@ -23,7 +22,7 @@
 }
 
 impl TenantSubscriptions {
-    /// Records a request of a tenant at a node; whether it is the first one.
+    /// Records a request of a tenant at a node; returns whether it is the first one.
     pub fn record_request(&mut self, node: u32, tenant: u32, now: f64) -> bool {
         let is_first = self.tenants.entry(node).or_default().insert(tenant);
         if is_first {
@@ -33,7 +32,7 @@
         is_first
     }
 
-    /// Records that a node has applied a resource.
+    /// Records that a node has applied a resource, which may complete a first request.
     pub fn record_applied(&mut self, node: u32, name: &Name, at: f64) {
         if self.pending.is_empty() {
             return;
@@ -52,12 +51,12 @@
         self.tenants.get(&node).into_iter().flatten().copied()
     }
 
-    /// Number of first requests that still wait.
+    /// Number of first requests that are still waiting.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The waits of first requests since the last call, in seconds.
+    /// Takes the waiting times of first requests that were completed since the last call, in seconds.
     pub fn take_waits(&mut self) -> Vec<f64> {
         std::mem::take(&mut self.waits)
     }
--- a/crates/emulator/src/control/times.rs
+++ b/crates/emulator/src/control/times.rs
@@ -1,4 +1,4 @@
-//! Percentiles of durations, as reports state them.
+//! Percentiles of durations, in the format of reports.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
     pub p50: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// The maximum.
+    /// Maximum.
     pub last: f64,
 }
 
--- a/crates/emulator/src/control/topology.rs
+++ b/crates/emulator/src/control/topology.rs
@@ -1,55 +1,55 @@
-//! Regions, zones and racks, and the site of each endpoint. Networks take delays and partitions from it.
+//! Regions, zones and racks, and the site of each endpoint. They determine delays and partitions of a network.
 
-/// Number of endpoints of one rack.
+/// Maximum number of endpoints in a rack.
 pub const RACK_SIZE: usize = 40;
 
-/// Zones of each region of the target system: 13 in 4 regions.
+/// Number of zones of each region of the target system: 13 in 4 regions.
 pub const TARGET_ZONES: [u16; 4] = [4, 3, 3, 3];
 
 /// The site of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Site {
-    /// Its region.
+    /// Index of the region.
     pub region: u16,
-    /// Its zone, numbered over all regions.
+    /// Index of the zone, over all regions.
     pub zone: u16,
-    /// Its rack, numbered within the zone.
+    /// Index of the rack, within the zone.
     pub rack: u16,
 }
 
 /// How far apart two endpoints are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// In one zone.
+    /// In the same zone.
     WithinZone,
-    /// In two zones of one region.
+    /// In different zones of the same region.
     WithinRegion,
-    /// In two regions.
+    /// In different regions.
     BetweenRegions,
 }
 
-/// A set of endpoints.
+/// A set of endpoints, by site or number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of a region.
+    /// The endpoints of a region.
     Region(u16),
-    /// Those of a zone.
+    /// The endpoints of a zone.
     Zone(u16),
-    /// Those of a rack.
+    /// The endpoints of a rack.
     Rack {
         /// The zone of the rack.
         zone: u16,
-        /// Its number within the zone.
+        /// Index of the rack within the zone.
         rack: u16,
     },
-    /// One of them.
+    /// A single endpoint.
     Endpoint(u32),
 }
 
 impl Scope {
-    /// Whether an endpoint at a site belongs to the set.
+    /// Whether an endpoint, which is at this site, belongs to the set.
     pub fn contains(self, endpoint: u32, site: Site) -> bool {
         match self {
             Scope::All => true,
@@ -67,12 +67,12 @@
     /// The region of each zone.
     regions: Vec<u16>,
     sites: Vec<Site>,
-    /// Number of endpoints of each zone so far.
+    /// Number of endpoints of each zone.
     populations: Vec<usize>,
 }
 
 impl Topology {
-    /// A topology of regions with these numbers of zones, without endpoints.
+    /// Creates a topology without endpoints, in which each region has the given number of zones.
     pub fn new(zones_of_regions: &[u16]) -> Topology {
         let mut regions = Vec::new();
         for (region, zones) in (0u16..).zip(zones_of_regions) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Endpoints spread evenly over the zones, in blocks of neighbouring numbers.
+    /// Creates a topology whose endpoints are spread evenly over the zones, in blocks of consecutive numbers.
     pub fn even(zones_of_regions: &[u16], endpoints: usize) -> Topology {
         let mut topology = Topology::new(zones_of_regions);
         let zones = topology.regions.len().max(1);
@@ -127,7 +127,7 @@
         self.regions.len()
     }
 
-    /// The site of an endpoint.
+    /// The site of an endpoint; `None` if there is no such endpoint.
     pub fn site(&self, endpoint: u32) -> Option<Site> {
         self.sites.get(endpoint as usize).copied()
     }
@@ -141,7 +141,7 @@
             .collect()
     }
 
-    /// How far apart two endpoints are.
+    /// How far apart two endpoints are; `None` if either does not exist.
     pub fn distance(&self, one: u32, other: u32) -> Option<Distance> {
         let (one, other) = (self.site(one)?, self.site(other)?);
         Some(match (one.region == other.region, one.zone == other.zone) {
--- a/crates/emulator/src/control/world.rs
+++ b/crates/emulator/src/control/world.rs
@@ -1,14 +1,14 @@
-//! Distribution of configuration in a fleet: publishers, relays and nodes over a network, the changes that are published, and
-//! when each node applies them. [`super::scenarios`] drives it.
+//! Configuration distribution in a fleet: publishers, relays and nodes on a network, the changes that are published, and when
+//! each node applies them. [`super::scenarios`] run in it.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `machines` | machines that start, end and lose their disks |
+//! | `machines` | start and end of machines, and loss of their disks |
 //! | `lease` | which publisher holds the lease |
-//! | `changes` | changes: requested, published, reverted |
-//! | `tracking` | which nodes have applied a change, and the staleness that nodes state |
+//! | `changes` | requesting, publishing and reverting changes |
+//! | `tracking` | which nodes have applied a change, and the staleness that nodes report |
 //! | `relays` | whether relays have all resources |
-//! | `invariants` | invariants of the whole world |
+//! | `invariants` | invariants that scenarios check at their end |
 
 mod changes;
 mod invariants;
@@ -40,19 +40,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// How often the lease and the changes that nodes have applied are looked at, in seconds.
+/// Interval at which the lease is maintained and the changes that nodes have applied are collected, in seconds.
 const STEP: f64 = 0.25;
-/// Number of resources that are published at once at the start.
+/// Number of resources in each batch that is published at the start.
 const INITIAL_BATCH: usize = 500;
-/// How long the initial resources may take to reach all relays, in seconds: 640,000 of them, 16 KiB per round trip between
-/// regions.
+/// How long the initial resources may take to reach all relays, in seconds: up to 640,000 resources are transferred at 16 KiB
+/// per round trip between regions.
 const LOAD_TIMEOUT: f64 = 3_600.0;
-/// Clocks that drift start within this range, in seconds.
+/// Range of the initial offsets of drifting clocks, in seconds.
 const CLOCK_OFFSET_RANGE: f64 = 1_000.0;
-/// Sets the random numbers of clocks apart from the others of the seed.
+/// Separates the random numbers of clocks from others that are derived from the same seed.
 const CLOCK_SEED: u64 = 0xc10c;
 
-/// Links that count headers as the distribution does.
+/// Default links, with the header overhead that the distribution assumes in its own traffic limits.
 pub fn links() -> Links {
     Links {
         overhead: TRANSPORT_OVERHEAD_BYTES,
@@ -60,14 +60,14 @@
     }
 }
 
-/// Why a world can't be made.
+/// Why a world could not be created.
 #[derive(Clone, Debug, Error)]
 pub enum WorldError {
-    /// The system can't be placed.
+    /// The endpoints can't be placed.
     #[error(transparent)]
     Layout(#[from] LayoutError),
-    /// No publisher started to publish in time.
-    #[error("no publisher writes")]
+    /// No publisher was ready to publish in time.
+    #[error("no publisher became ready to publish")]
     NoPublisher,
     /// The initial resources were not published.
     #[error(transparent)]
@@ -77,36 +77,36 @@
     RelaysBehind(#[from] RelaysBehind),
 }
 
-/// Machines over a network, with what is known of their configuration.
+/// Machines on a network, with the state by which the distribution of changes is tracked and checked.
 pub struct World {
     /// The machines and their links.
     pub network: Network<Machine>,
-    /// The roles of endpoints.
+    /// The endpoints by role.
     pub layout: Layout,
-    /// Violations of invariants.
+    /// Records violations of invariants.
     pub checker: InvariantChecker,
-    /// Tenants that nodes have subscribed to.
+    /// Subscriptions of nodes to tenants.
     pub tenant_subscriptions: TenantSubscriptions,
-    /// The staleness that nodes state, if it is compared with the true one.
+    /// Comparison of the staleness that nodes report with the actual one; `None` disables the comparison.
     pub ages: Option<Ages>,
-    /// The clock of each machine.
+    /// The clock of each machine, by endpoint.
     clocks: Vec<Clock>,
-    /// Disks of machines that have ended.
+    /// Disks of machines that do not run, by endpoint.
     disks: BTreeMap<u32, Disk>,
     lease: LeaseState,
-    /// Changes that wait for a publisher.
+    /// Requested changes that no publisher has published yet.
     requested: VecDeque<RequestedChange>,
-    /// Changes that not all nodes have applied.
+    /// Published changes that not all nodes have applied.
     tracked: BTreeMap<Name, Vec<TrackedChange>>,
-    /// Changes that all nodes have applied.
+    /// Published changes that all nodes have applied.
     completed: Vec<TrackedChange>,
-    /// Number of bodies so far.
+    /// Number of bodies generated so far, which makes each body unique.
     bodies: u64,
     rng: Pcg64Mcg,
 }
 
 impl World {
-    /// A world whose publishers and relays run and have every service's resources. Its nodes do not run yet.
+    /// Creates a world whose publishers and relays run and have all resources. Its nodes do not run yet.
     ///
     /// # Errors
     /// If the sizes are invalid, or the resources do not reach the relays.
@@ -114,7 +114,7 @@
         World::with_drift(sizes, links, seed, 0.0)
     }
 
-    /// The same with clocks of machines that run between `1 - drift` and `1 + drift` times as fast as the world's.
+    /// Like [`World::new`], but the clocks of machines run between `1 - drift` and `1 + drift` times as fast as simulation time.
     ///
     /// # Errors
     /// As [`World::new`].
@@ -149,15 +149,15 @@
         Ok(world)
     }
 
-    /// Publishes all resources at one instant and waits until all relays have them.
+    /// Publishes all resources at once and waits until all relays have them.
     fn load(&mut self) -> Result<(), WorldError> {
-        self.run_until(LOAD_TIMEOUT, |world| world.publishing_publisher().is_some())
+        self.run_until(LOAD_TIMEOUT, |world| world.ready_publisher().is_some())
             .ok_or(WorldError::NoPublisher)?;
         let resources: Vec<Resource> = self.layout.sizes.resources().collect();
         resources
             .chunks(INITIAL_BATCH)
             .try_for_each(|batch| self.publish(batch))?;
-        let loaded = self.run_until(LOAD_TIMEOUT, World::relays_have_all);
+        let loaded = self.run_until(LOAD_TIMEOUT, World::relays_are_up_to_date);
         loaded.map(drop).ok_or_else(|| self.relays_behind().into())
     }
 
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Runs until a condition holds; how long it took, or `None` if it does not hold within `timeout` seconds.
+    /// Runs until a condition holds. Returns how long that took, in seconds, or `None` if it does not hold within `timeout`
+    /// seconds.
     pub fn run_until(&mut self, timeout: f64, condition: impl Fn(&World) -> bool) -> Option<f64> {
         let started_at = self.network.now();
         while !condition(self) {
@@ -189,7 +190,7 @@
         Some(self.network.now() - started_at)
     }
 
-    /// Whether a node has applied what the publisher has.
+    /// Whether a node has applied the publisher's content of all its resources.
     pub fn is_up_to_date(&self, node: u32) -> bool {
         let Some(publisher) = self.publisher() else {
             return false;
@@ -204,7 +205,7 @@
     }
 }
 
-/// The clocks of this many machines.
+/// Samples the clocks of this many machines, whose rates differ from 1 by up to `drift`.
 fn clocks(machines: usize, seed: u64, drift: f64) -> Vec<Clock> {
     if drift == 0.0 {
         return vec![Clock::TRUE; machines];
--- a/crates/emulator/src/control/world/changes.rs
+++ b/crates/emulator/src/control/world/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of resources: requested, published by the publisher that holds the lease, and reverted.
+//! Requesting, publishing and reverting changes of resources, by the publisher that holds the lease.
 
 use super::World;
 use crate::control::errors::WriteError;
@@ -11,20 +11,20 @@
 use reelfall_distribution::resource::{Draft, Selector, Version};
 use reelfall_lease::token::Claim;
 
-/// A change that waits for a publisher.
+/// A change that has not been published yet.
 pub(super) struct RequestedChange {
     resource: Resource,
     requested_at: f64,
 }
 
 impl World {
-    /// Samples a service.
+    /// Selects a service at random.
     pub fn sample_service(&mut self) -> u32 {
         self.rng.random_range(0..self.layout.sizes.services)
     }
 
-    /// Requests a change of a sampled resource of a sampled service.
-    pub fn request_any_change(&mut self) {
+    /// Requests a change of a random resource of a random service.
+    pub fn request_random_change(&mut self) {
         let service = self.sample_service();
         let index = self
             .rng
@@ -32,7 +32,7 @@
         self.request_change(self.layout.sizes.resource(service, index));
     }
 
-    /// Requests a change of a resource. It is published once there is a publisher that can publish.
+    /// Requests a change of a resource. It is published as soon as a publisher is ready.
     pub fn request_change(&mut self, resource: Resource) {
         self.requested.push_back(RequestedChange {
             resource,
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn publish_requested(&mut self) {
-        while self.publishing_publisher().is_some() {
+        while self.ready_publisher().is_some() {
             let Some(requested) = self.requested.pop_front() else {
                 return;
             };
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Publishes new bodies of resources in one batch; they are not tracked.
+    /// Publishes new bodies of resources in one batch, without tracking when nodes apply them.
     ///
     /// # Errors
-    /// If there is no publisher that can publish, or it rejects the batch.
+    /// If there is no publisher that is ready, or it rejects the batch.
     pub fn publish(&mut self, resources: &[Resource]) -> Result<(), WriteError> {
         let drafts = resources
             .iter()
@@ -78,10 +78,10 @@
             .map(drop)
     }
 
-    /// Reverts a change, and tracks the change that this is.
+    /// Reverts a change, and tracks the reverting change.
     ///
     /// # Errors
-    /// If there is no publisher that can publish, or it rejects the request.
+    /// If there is no publisher that is ready, or it rejects the request.
     pub fn revert(&mut self, resource: Resource, version: Version) -> Result<(), WriteError> {
         let requested_at = self.network.now();
         let reverted = self.write(|publisher, now, claim, outputs| {
@@ -91,8 +91,8 @@
         Ok(())
     }
 
-    /// A request of a sampled tenant arrives at a node, which subscribes to the tenant if it is the first one.
-    pub fn request_any_tenant(&mut self, node: u32) {
+    /// Delivers a request of a random tenant to a node, which subscribes to the tenant if this is its first request.
+    pub fn request_random_tenant(&mut self, node: u32) {
         let tenant = self.rng.random_range(0..self.layout.sizes.tenants.max(1));
         let now = self.network.now();
         if !self.tenant_subscriptions.record_request(node, tenant, now) {
@@ -115,13 +115,13 @@
     fn draft(&mut self, resource: Resource) -> Draft {
         self.bodies += 1;
         let mut body = vec![0; resource.body_bytes()];
-        // Random bytes can't be compressed: sizes on links are then those of any body of this length.
+        // Random bytes are incompressible, so that the size on links does not depend on compression.
         self.rng.fill(body.as_mut_slice());
         body[..8].copy_from_slice(&self.bodies.to_be_bytes());
         Draft::put(resource.name(), &body)
     }
 
-    /// Calls the publisher that holds the lease.
+    /// Calls the publisher that holds the lease with its claim.
     fn write(
         &mut self,
         call: impl FnOnce(
--- a/crates/emulator/src/control/world/invariants.rs
+++ b/crates/emulator/src/control/world/invariants.rs
@@ -1,12 +1,11 @@
-//! Invariants of the whole world: nodes agree with the publisher and stay within their bandwidth. Scenarios check them at
-//! their end.
+//! Invariants that scenarios check at their end: nodes agree with the publisher and stay within their bandwidth.
 
 use super::World;
 use crate::control::account::LONG_WINDOW;
 use crate::control::invariants::{ViolationKind, CONTROL_BANDWIDTH};
 use crate::control::machine::Machine;
 
-/// Checks that nodes have applied what the publisher has.
+/// Checks that nodes have applied the publisher's content of all their resources.
 pub fn check_agreement(world: &mut World, nodes: &[u32]) {
     let behind: Vec<u32> = nodes
         .iter()
@@ -22,7 +21,7 @@
     }
 }
 
-/// Checks that no node has exceeded its bandwidth since the last reset of accounts.
+/// Checks that no node has exceeded its bandwidth budget since the last reset of accounts.
 pub fn check_bandwidth(world: &mut World) {
     let max_bytes = CONTROL_BANDWIDTH * LONG_WINDOW;
     let now = world.network.now();
--- a/crates/emulator/src/control/world/lease.rs
+++ b/crates/emulator/src/control/world/lease.rs
@@ -1,5 +1,5 @@
-//! The lease of the publishers. Its grants are simulated and not negotiated: the first publisher that runs and is eligible gets
-//! the next token once the lease of the previous one has expired. `reelfall_lease` is what grants leases in production.
+//! The lease of the publishers. Grants are simulated: once a lease has expired, the first running and eligible publisher
+//! receives the next token. In production, `reelfall_lease` grants leases.
 
 use super::World;
 use crate::control::invariants::ViolationKind;
@@ -7,17 +7,17 @@
 use reelfall_lease::token::Claim;
 use std::collections::BTreeSet;
 
-/// Duration of a lease, in seconds: after the loss of the publisher, this, the takeover and up to 7 s until relays follow
-/// the new publisher must stay within the 15 s in which a change is applied.
+/// Duration of a lease, in seconds. After the loss of the publisher, the sum of this, the takeover, and up to 7 s until
+/// relays follow the new publisher must not exceed the 15 s within which a change has to be applied.
 pub const LEASE_DURATION: f64 = 5.0;
-/// Interval between renewals of a lease, in seconds: three in its duration, as `reelfall_lease` does.
+/// Interval between renewals of a lease, in seconds: a third of its duration, as in `reelfall_lease`.
 const LEASE_RENEWAL_INTERVAL: f64 = LEASE_DURATION / 3.0;
 
 /// The lease and its holder.
 #[derive(Default)]
 pub(super) struct LeaseState {
     holder: Option<u32>,
-    /// Publishers that are not granted the lease.
+    /// Publishers to which the lease is not granted.
     excluded: BTreeSet<u32>,
     token: u64,
     expires_at: f64,
@@ -30,7 +30,7 @@
         self.lease.holder
     }
 
-    /// Stops to grant the lease to a publisher, as if it were partitioned from the keepers.
+    /// Stops granting the lease to a publisher, as if it were partitioned from the keepers.
     pub fn exclude_from_lease(&mut self, publisher: u32) {
         self.lease.excluded.insert(publisher);
         if self.lease.holder == Some(publisher) {
@@ -103,8 +103,8 @@
         self.network.endpoint(self.leader()?)?.as_publisher()
     }
 
-    /// The same, if it has taken over and can publish.
-    pub(super) fn publishing_publisher(&self) -> Option<&Publisher> {
+    /// The publisher that holds the lease, if it runs, has taken over and can publish.
+    pub(super) fn ready_publisher(&self) -> Option<&Publisher> {
         self.publisher()
             .filter(|publisher| publisher.is_publishing())
     }
--- a/crates/emulator/src/control/world/machines.rs
+++ b/crates/emulator/src/control/world/machines.rs
@@ -1,11 +1,11 @@
-//! Machines of the world that start, end and lose their disks.
+//! Start and end of machines, and loss of their disks.
 
 use super::World;
 use crate::control::clock::Clock;
 use crate::control::machine::Machine;
 
 impl World {
-    /// Starts a machine, with its disk if it has one.
+    /// Starts a machine, with the disk of its previous process if there is one.
     pub fn start(&mut self, endpoint: u32) {
         let now = self.network.now();
         let disk = self.disks.remove(&endpoint).unwrap_or_default();
@@ -30,7 +30,7 @@
         self.network.start(endpoint, machine);
     }
 
-    /// Ends a machine; its disk remains.
+    /// Ends a machine and retains its disk.
     pub fn kill(&mut self, endpoint: u32) {
         self.collect_applied_of(endpoint);
         if let Some(machine) = self.network.kill(endpoint) {
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Erases the disk of a machine that has ended.
+    /// Erases the disk of a machine that does not run.
     pub fn erase_disk(&mut self, endpoint: u32) {
         self.disks.remove(&endpoint);
         self.checker.forget_node(endpoint);
     }
 
-    /// Nodes that run.
+    /// The nodes that run.
     pub fn running_nodes(&self) -> impl Iterator<Item = u32> + '_ {
         self.layout
             .nodes()
--- a/crates/emulator/src/control/world/relays.rs
+++ b/crates/emulator/src/control/world/relays.rs
@@ -1,4 +1,4 @@
-//! Whether the relays have all that the publisher has published, and what they lack if not.
+//! Whether the relays have received everything that the publisher has published, and their progress.
 
 use super::World;
 use crate::control::errors::{RelayProgress, RelaysBehind};
@@ -6,7 +6,7 @@
 use reelfall_distribution::publisher::Publisher;
 
 impl World {
-    /// What the relays have received so far.
+    /// The progress of the relays, for the report that they are behind.
     pub fn relays_behind(&self) -> RelaysBehind {
         let publisher = self.publisher();
         let relays = self.layout.relays().iter();
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Whether all relays that run cover all that the publisher has published.
-    pub fn relays_have_all(&self) -> bool {
+    /// Whether all running relays have received everything that the publisher has published.
+    pub fn relays_are_up_to_date(&self) -> bool {
         let Some(head) = self.publisher().map(Publisher::head) else {
             return false;
         };
