--- a/crates/emulator/src/control/world/tracking.rs
+++ b/crates/emulator/src/control/world/tracking.rs
@@ -1,4 +1,4 @@
-//! Which nodes have applied which changes, and the staleness that nodes state, collected while the world runs.
+//! Tracks which nodes have applied which changes, and compares the staleness that nodes report with the actual one.
 
 use super::World;
 use crate::control::invariants::ViolationKind;
@@ -9,41 +9,41 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A change, and the nodes that have applied it.
+/// A published change, and which nodes have applied it.
 #[derive(Clone, Debug)]
 pub struct TrackedChange {
     /// The resource.
     pub resource: Resource,
-    /// Its version.
+    /// The version of the change.
     pub version: Version,
     /// When the change was requested.
     pub requested_at: f64,
     /// When the publisher published it.
     pub published_at: f64,
-    /// Nodes that have not applied it yet.
+    /// Nodes that need the change and have not applied it yet.
     pub missing: BTreeSet<u32>,
-    /// When each of the others applied it, in seconds after the request.
+    /// When each other node applied it, in seconds after the request.
     pub apply_times: Vec<f64>,
 }
 
-/// How long changes took.
+/// How long it took nodes to apply changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ApplyTimes {
-    /// From the request of a change until a node has applied it, over all changes and nodes.
+    /// Time from the request of a change until a node applied it, over all changes and nodes.
     pub times: Option<Times>,
-    /// How often a node has not applied a change yet.
+    /// Number of pairs of a node and a change that the node has not applied yet.
     pub missing: usize,
 }
 
-/// The staleness that nodes stated of their configuration, compared with the true one.
+/// Comparison of the staleness that nodes report of their configuration with the actual one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ages {
-    /// How often a node that lacked a change was compared.
+    /// Number of comparisons. Only nodes that lack a change are compared.
     pub compared: u64,
-    /// Minimum of the stated staleness less the true one, in seconds; negative if one was understated.
+    /// Minimum of the reported minus the actual staleness, in seconds; negative if a node understated it.
     pub least_margin: f64,
-    /// The greatest true staleness, in seconds.
+    /// The maximum actual staleness, in seconds.
     pub oldest: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl World {
-    /// Starts to track a change that was published now.
+    /// Starts to track a change that has just been published.
     pub(super) fn track(&mut self, resource: Resource, version: Version, requested_at: f64) {
         let tracked = TrackedChange {
             resource,
@@ -77,7 +77,7 @@
             .push(tracked);
     }
 
-    /// The nodes that run and need a resource.
+    /// The running nodes that need a resource.
     fn nodes_needing(&self, resource: Resource) -> BTreeSet<u32> {
         match resource {
             Resource::Settings(service)
@@ -96,14 +96,13 @@
         }
     }
 
-    /// The change of the greatest version that is tracked, or that all nodes have applied since the last
-    /// [`World::take_apply_times`].
+    /// The change with the greatest version since the last [`World::take_apply_times`].
     pub fn latest_change(&self) -> Option<TrackedChange> {
         let all = self.tracked.values().flatten().chain(&self.completed);
         all.max_by_key(|tracked| tracked.version).cloned()
     }
 
-    /// Collects what nodes have applied.
+    /// Collects the changes that nodes have applied since the last call.
     pub(super) fn collect_applied(&mut self) {
         let nodes: Vec<u32> = self.running_nodes().collect();
         nodes
@@ -152,10 +151,10 @@
         });
     }
 
-    /// The apply times of all changes since the last call; stops to track them.
+    /// Takes the apply times of all changes since the last call, and stops tracking these changes.
     ///
-    /// A node does not miss a change that was superseded by one that it has applied, such as one of a publisher that was
-    /// partitioned.
+    /// A change is not missing at a node that has applied a later version of the resource; changes of a partitioned publisher
+    /// may be superseded in this way.
     pub fn take_apply_times(&mut self) -> ApplyTimes {
         let incomplete = std::mem::take(&mut self.tracked).into_values().flatten();
         let changes: Vec<TrackedChange> = incomplete
@@ -180,7 +179,7 @@
         tracked.missing.iter().filter(is_missing).count()
     }
 
-    /// Checks that no node states a staleness that is less than the time since the publication of a change that it lacks.
+    /// Checks that no node reports a staleness that is less than the time since the publication of a change that it lacks.
     pub(super) fn compare_ages(&mut self) {
         let Some(mut ages) = self.ages else { return };
         let now = self.network.now();
--- a/crates/emulator/src/digest.rs
+++ b/crates/emulator/src/digest.rs
@@ -1,14 +1,14 @@
-//! A digest of all commands of a run, so that tests can compare two runs to the last bit.
+//! A digest of all commands of a run, by which tests check that two runs are identical.
 
 use reelfall_balancer::engine::{Command, FinalAnswer, Host};
 use reelfall_balancer::interface::{Outcome, Time};
 
-/// Stands for a time that is absent; no time is negative.
+/// Encodes an absent time; times are never negative.
 const ABSENT: f64 = -1.0;
-/// Stands for an absent word.
+/// Encodes an absent word.
 const NONE: u64 = 0;
 
-/// Codes of commands.
+/// Codes by which commands enter the digest.
 mod command_code {
     pub(super) const SEND: u64 = 0;
     pub(super) const CANCEL_ATTEMPT: u64 = 1;
@@ -19,19 +19,19 @@
     pub(super) const RELEASE_SERVER_ID: u64 = 6;
 }
 
-/// Codes of final answers.
+/// Codes by which final answers enter the digest.
 mod answer_code {
     pub(super) const SERVED: u64 = 0;
     pub(super) const REJECTED: u64 = 1;
     pub(super) const FAILED: u64 = 2;
 }
 
-/// The digest of the commands that all nodes have given so far, with their times.
+/// The digest of the commands of all nodes so far, with their times.
 #[derive(Clone, Debug, Default)]
 pub struct CommandDigest(blake3::Hasher);
 
 impl CommandDigest {
-    /// Adds a command that a node gave at this time.
+    /// Adds a command that a node issued at this time.
     pub fn add<H: Host>(&mut self, now: Time, node: usize, command: &Command<H>) {
         self.word(now.to_bits());
         self.word(node as u64);
--- a/crates/emulator/src/inspect.rs
+++ b/crates/emulator/src/inspect.rs
@@ -1,24 +1,24 @@
-//! Statistics of the datagrams of a cluster, for the scale runs.
+//! Statistics of the contents of a cluster's datagrams, for the scale runs.
 
 use reelfall_cluster::wire::{GossipDatagram, Secret};
 
-/// Sums over datagrams.
+/// Totals over datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramStats {
     /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of the datagrams, in bytes.
     pub bytes: u64,
     /// Bytes of the membership protocol: probes, and the member updates that they carry.
     pub swim_bytes: u64,
-    /// Number of members in responses of anti-entropy.
+    /// Number of members in anti-entropy responses.
     pub members: u64,
-    /// Number of entries of the table, such as bans.
+    /// Number of table entries, such as bans.
     pub entries: u64,
 }
 
 impl DatagramStats {
-    /// The difference from an earlier state of the same sums.
+    /// The increase since earlier totals.
     pub fn since(&self, earlier: &DatagramStats) -> DatagramStats {
         DatagramStats {
             datagrams: self.datagrams - earlier.datagrams,
@@ -30,15 +30,15 @@
     }
 }
 
-/// Opens datagrams with the cluster's key and counts their contents.
+/// Decodes datagrams with the cluster's key and counts their contents.
 pub struct Inspector {
     secret: Secret,
-    /// The sums so far.
+    /// The totals so far.
     pub stats: DatagramStats,
 }
 
 impl Inspector {
-    /// An inspector that has counted nothing yet.
+    /// An inspector for datagrams that are sealed with this key, with empty totals.
     pub fn new(secret: Secret) -> Inspector {
         Inspector {
             secret,
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Counts a datagram.
+    /// Adds a datagram to the totals.
     pub fn add(&mut self, datagram: &[u8]) {
         self.stats.datagrams += 1;
         self.stats.bytes += datagram.len() as u64;
-        // Datagrams of applications are of another kind and have none of these parts.
+        // Application datagrams, and those of another key, can't be opened as gossip; only their size is counted.
         let Ok(GossipDatagram { header, entries }) = GossipDatagram::open(&self.secret, datagram)
         else {
             return;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,17 +1,17 @@
-//! A fleet in virtual time: many nodes with the decision module of real nodes, over modelled clients, servers and
-//! connections, with an endpoint list that is delayed. There is one clock, one seed and no I/O, so that a run can be
-//! repeated exactly.
+//! Simulates fleets of nodes in virtual time. The nodes run the production code of the decision module, of cluster
+//! membership and of configuration distribution; clients, servers, connections and networks are models. There is one clock,
+//! one seed and no I/O, so that runs are reproducible.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`plan`] | the plan of a run: what there is, and what happens |
-//! | [`world`] | executes a plan, for the decision module |
-//! | [`report`], [`violations`], [`digest`] | the result of a run: counts, broken rules, all commands |
-//! | [`scenario`], [`trials`] | plans of small fleets; plans sampled from seeds at the size of a whole fleet |
-//! | [`server`] | the model of a server; no measurement of a real one |
-//! | [`queue`], [`streams`] | the event queue; random numbers |
-//! | [`cluster`], [`inspect`] | nodes that know each other, and their datagrams |
-//! | [`control`] | the control side of thousands of nodes |
+//! | [`plan`] | the plan of a run: fleet, load and disturbances |
+//! | [`world`] | executes a plan with the decision module |
+//! | [`report`], [`violations`], [`digest`] | the result of a run: counts, violated rules, a digest of all commands |
+//! | [`scenario`], [`trials`] | fixed plans of small fleets; plans of large fleets whose parameters are sampled from a seed |
+//! | [`server`] | the model of a server; it is not calibrated by measurements of a real one |
+//! | [`queue`], [`streams`] | the event queue; random number streams |
+//! | [`cluster`], [`inspect`] | cluster membership and gossip, and statistics of the datagrams |
+//! | [`control`] | the control plane of thousands of nodes |
 
 pub mod cluster;
 pub mod control;
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: nodes, servers, clients, and the disturbances at their times. [`crate::world`] executes it.
+//! The plan of a run: nodes, servers, clients, and scheduled disturbances. [`crate::world`] executes it.
 
 use reelfall_balancer::interface::{Idempotency, Time};
 use std::ops::RangeInclusive;
@@ -14,65 +14,65 @@
     pub latency_objective: Time,
     /// How long a client waits in total, with its retries, in seconds.
     pub deadline: Time,
-    /// Priority weight of a unit of work.
+    /// Priority weight per unit of work.
     pub priority_weight: f64,
-    /// What a second execution would do.
+    /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// A type of machines.
+/// A type of machine that servers run on.
 #[derive(Clone, Debug)]
 pub struct MachineType {
-    /// Fraction of the servers.
+    /// Fraction of the servers that are of this type.
     pub server_fraction: f64,
-    /// The weight that the list states.
+    /// The weight in the endpoint list.
     pub listed_weight: f64,
-    /// Work per second of a warm server: of the slowest and the fastest one.
+    /// Range of the work per second of servers after slow start.
     pub speed: RangeInclusive<f64>,
 }
 
-/// How a server behaves.
+/// The fault of a server, if any.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerBehavior {
     /// Without a fault.
     Healthy,
     /// Slower by this factor.
     Slow(f64),
-    /// It pauses regularly.
+    /// It pauses periodically.
     Pausing {
-        /// Time from the start of one pause to that of the next, in seconds.
+        /// Time between the starts of two pauses, in seconds.
         interval: Time,
         /// Duration of a pause, in seconds.
         duration: Time,
     },
-    /// It accepts requests and sends no response.
+    /// It accepts requests but sends no responses.
     Unresponsive,
-    /// It responds at once with an error.
+    /// It responds to every request with an error at once.
     Failing,
 }
 
 /// A fault or a change of load during a run. Fractions are of all nodes or servers; times are in seconds.
 #[derive(Clone, Debug)]
 pub enum Disturbance {
-    /// Nodes are killed at once; they start again with the list that they had.
+    /// Nodes are killed at once; they restart with the endpoint list that they had.
     KillNodes {
         /// Fraction of the nodes.
         fraction: f64,
         /// For how long they are down.
         down_for: Time,
     },
-    /// All nodes and servers of a zone are lost and start again, the servers with slow start.
+    /// All nodes and servers of a zone are lost and restart; the servers begin with slow start.
     LoseZone {
         /// The zone.
         zone: u16,
         /// For how long it is lost.
         down_for: Time,
     },
-    /// Servers drain and end; as many new ones start under new names.
+    /// Servers drain and end; the same number of new ones start under new names.
     ReplaceServers {
         /// Fraction of the servers.
         fraction: f64,
-        /// When the new ones start.
+        /// Time until the new ones start.
         after: Time,
     },
     /// Servers end without draining.
@@ -80,11 +80,11 @@
         /// Fraction of the servers.
         fraction: f64,
     },
-    /// The list repeatedly states of servers that they drain, and that they don't.
+    /// The endpoint list announces alternately that servers are draining and that they are up.
     FlapEntries {
         /// Fraction of the servers.
         fraction: f64,
-        /// How often each is stated.
+        /// Number of alternations.
         count: u32,
     },
     /// Servers have a fault.
@@ -101,14 +101,14 @@
         /// For how long.
         duration: Time,
     },
-    /// Nodes get no requests.
+    /// Nodes receive no requests.
     IdleNodes {
         /// Fraction of the nodes.
         fraction: f64,
         /// For how long.
         duration: Time,
     },
-    /// All nodes are restarted in steps: each completes its requests, ends, and starts again.
+    /// All nodes are restarted in steps: each completes its requests, ends, and restarts.
     RollingRestart {
         /// Number of steps.
         steps: u32,
@@ -117,14 +117,14 @@
         /// For how long a node is down.
         down_for: Time,
     },
-    /// A zone is partitioned from the others; clients still reach the nodes of both.
+    /// A zone is partitioned from the other; clients still reach the nodes of both.
     Partition {
         /// The zone.
         zone: u16,
         /// For how long.
         duration: Time,
     },
-    /// Responses are lost with their connections.
+    /// Responses are lost and their connections fail.
     LostResponses {
         /// Fraction of the responses.
         fraction: f64,
@@ -133,19 +133,19 @@
     },
     /// More requests arrive.
     TrafficSurge {
-        /// How many times as many.
+        /// Factor by which the request rate grows.
         factor: f64,
         /// For how long.
         duration: Time,
     },
-    /// The traffic shifts between zones.
+    /// Traffic shifts between zones.
     TrafficShift {
         /// Fraction of the clients in the first zone from now on.
         first_zone_fraction: f64,
     },
-    /// All servers are slower, since a common dependency is slow.
+    /// All servers are slower, as when a common dependency is slow.
     CommonSlowdown {
-        /// How many times slower.
+        /// Factor by which work takes longer.
         factor: f64,
         /// For how long.
         duration: Time,
@@ -155,27 +155,27 @@
 /// A disturbance with its time.
 #[derive(Clone, Debug)]
 pub struct ScheduledDisturbance {
-    /// From the start of the run, in seconds.
+    /// When it starts, in seconds since the start of the run.
     pub at: Time,
     /// What happens.
     pub disturbance: Disturbance,
 }
 
-/// The fractions of all that are in the first of two zones.
+/// The fractions of nodes, clients and servers that are in the first of two zones.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstZoneFractions {
-    /// Of the nodes, and of the clients.
+    /// Fraction of the nodes, and of the clients.
     pub nodes: f64,
-    /// Of the servers.
+    /// Fraction of the servers.
     pub servers: f64,
 }
 
 /// One-way latencies between nodes and servers, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Latency {
-    /// Within a zone.
+    /// Between endpoints in the same zone.
     pub same_zone: Time,
-    /// Between zones.
+    /// Between endpoints in different zones.
     pub cross_zone: Time,
 }
 
@@ -184,31 +184,32 @@
 pub struct QueueSlowdown {
     /// Length of the queue beyond which each further request slows the server down.
     pub threshold: usize,
-    /// How much each request does, as a fraction of its speed.
+    /// Slowdown per further request: work takes longer by this fraction.
     pub per_request: f64,
 }
 
 /// The slow start of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Fraction of its capacity that a server has when it starts.
+    /// Capacity at the start, as a fraction of the full capacity.
     pub initial_capacity: f64,
-    /// Time until it has its full capacity, in seconds.
+    /// Time until the full capacity is reached, in seconds.
     pub duration: Time,
-    /// It has it sooner after this fraction of the work that it could do in that time; never for 1 and more.
+    /// The full capacity is reached earlier once the server has done this fraction of the work that it could do at full
+    /// capacity in that time. Values of 1 and more disable this.
     pub work_fraction: f64,
 }
 
-/// When a server in its slow start is overloaded, which ends it.
+/// The load at which a server in slow start is overloaded and ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
-    /// At this multiple of its capacity.
+    /// Received work, as a multiple of the server's capacity.
     pub factor: f64,
-    /// Over this window, in seconds.
+    /// Length of the sliding window over which work is summed, in seconds.
     pub window: Time,
 }
 
-/// How clients retry.
+/// The retry policy of clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRetries {
     /// Maximum number of retries.
@@ -219,65 +220,66 @@
     pub respecting_retry_after: f64,
 }
 
-/// A run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// The name that is printed with the results.
     pub name: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Number of nodes that use the servers.
+    /// Number of nodes, all of which use the same servers.
     pub nodes: usize,
     /// Number of servers at the start.
     pub servers: usize,
-    /// The first of two zones.
+    /// How much of the fleet is in the first of two zones.
     pub first_zone: FirstZoneFractions,
     /// How long clients send requests, in seconds.
     pub duration: Time,
-    /// Offered work, as a fraction of what the warm servers can do.
+    /// Offered work, as a fraction of the full capacity of all servers.
     pub load: f64,
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
     /// The types of machines.
     pub machine_types: Vec<MachineType>,
-    /// Weight of the first node at the front end, relative to the others.
+    /// Weight of the first node at the front end, relative to each other node.
     pub first_node_weight: f64,
-    /// Nodes use the whole list, as their settings do not state the quotas of tenants.
+    /// If set, nodes use the whole endpoint list: their settings contain no tenant quotas, without which there is no
+    /// subsetting.
     pub is_subsetting_disabled: bool,
-    /// Latencies of the network.
+    /// Network latencies.
     pub latency: Latency,
-    /// Maximum number of requests in the queue of a server: the range over all servers.
+    /// Range from which the maximum queue length of each server is sampled.
     pub queue_capacity: RangeInclusive<usize>,
     /// How a long queue slows a server down.
     pub queue_slowdown: QueueSlowdown,
     /// Maximum number of connections of a server.
     pub max_connections: u32,
-    /// Work that a new connection costs a server, in seconds on a standard core.
+    /// Work of a server to accept a connection, in seconds on a standard core.
     pub connection_work: f64,
-    /// A connection that is not established after this time, in seconds, has failed.
+    /// Time after which the attempt to establish a connection fails, in seconds.
     pub connect_timeout: Time,
-    /// An idle connection is closed after this time, in seconds.
+    /// Time after which an idle connection is closed, in seconds.
     pub idle_timeout: Time,
-    /// The slow start of servers.
+    /// Slow start of servers.
     pub slow_start: SlowStart,
-    /// When a server in its slow start is overloaded.
+    /// The load at which a server in slow start is overloaded.
     pub overload: Overload,
-    /// Minimum delay of the notification of a change, in seconds; the maximum is twice as long.
+    /// Minimum delay until a node is notified of a change of the endpoint list, in seconds; the maximum is twice as long.
     pub notification_delay: Time,
-    /// How long the front end goes on sending to a node that is down, in seconds.
+    /// How long the front end still sends requests to a node that is down, in seconds.
     pub failover_delay: Time,
-    /// Timeout of a client's attempt, as a ratio to the deadline.
+    /// Timeout of each attempt of a client, as a fraction of the deadline.
     pub client_timeout_ratio: f64,
-    /// Fraction of the clients whose timeout is a third of that.
+    /// Fraction of the clients that use only a third of that timeout.
     pub impatient_fraction: f64,
-    /// How clients retry.
+    /// The retry policy of clients.
     pub client_retries: ClientRetries,
-    /// The disturbances.
+    /// Faults and changes of load during the run.
     pub disturbances: Vec<ScheduledDisturbance>,
 }
 
 impl Plan {
-    /// Adds a disturbance.
+    /// Schedules a disturbance, in seconds since the start of the run.
     pub fn disturb(&mut self, at: Time, disturbance: Disturbance) {
         self.disturbances
             .push(ScheduledDisturbance { at, disturbance });
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -1,4 +1,4 @@
-//! The event queue of emulations in virtual time: [`crate::world`] and [`crate::control::network`] run by it.
+//! The event queue of simulations in virtual time, used by [`crate::world`] and [`crate::control::network`].
 
 use reelfall_balancer::interface::Time;
 use std::cmp::Ordering;
@@ -25,7 +25,8 @@
 }
 
 impl<E> Ord for ScheduledEvent<E> {
-    /// The heap gives its greatest first: what is due first, and of one instant what was scheduled first.
+    /// Reversed, since the heap is a max-heap: the greatest event is the one due first, and among events of the same time the
+    /// one scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
         other
             .at
@@ -34,7 +35,7 @@
     }
 }
 
-/// Events by their time; those of one instant are in the order in which they were scheduled. The clock only advances.
+/// A queue of events ordered by time, then by the order in which they were scheduled. Its clock never goes back.
 pub struct EventQueue<E> {
     heap: BinaryHeap<ScheduledEvent<E>>,
     last_sequence: u64,
@@ -51,12 +52,12 @@
         }
     }
 
-    /// The time of the event that was removed last.
+    /// The time of the last event that was removed.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Schedules an event; one in the past, or at a time that is not a number, is due now.
+    /// Schedules an event. If the time is in the past or NaN, the event is due now.
     pub fn schedule(&mut self, at: Time, event: E) {
         let at = if at > self.now { at } else { self.now };
         self.last_sequence += 1;
@@ -67,7 +68,7 @@
         });
     }
 
-    /// When the next event is due.
+    /// When the next event is due; `None` if the queue is empty.
     pub fn next_due(&self) -> Option<Time> {
         self.heap.peek().map(|due| due.at)
     }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,27 +1,27 @@
-//! The result of a run.
+//! The result of a run: counts per second, violations, and the digest of all commands.
 
 use crate::digest::CommandDigest;
 use crate::violations::Violations;
 use reelfall_balancer::interface::Time;
 
-/// Counts of one second, over all nodes.
+/// Totals of one second over all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Second {
     /// Priority weight of the requests that clients first sent in this second.
     pub offered_weight: f64,
-    /// The part of it that was answered within the latency objective.
+    /// The part of [`Second::offered_weight`] whose requests were served within their latency objective.
     pub earned_weight: f64,
-    /// New requests.
+    /// New requests of clients.
     pub requests: u32,
-    /// The same with the retries of clients.
+    /// Requests of clients, including their retries.
     pub client_attempts: u32,
     /// Attempts that nodes sent.
     pub attempts: u32,
-    /// Those of them that were retries.
+    /// Attempts that were retries by nodes.
     pub retries: u32,
     /// Connections that nodes opened.
     pub connections: u32,
-    /// Those of them that were not established.
+    /// Connections that could not be established.
     pub failed_connections: u32,
     /// Attempts that timed out.
     pub timed_out: u32,
@@ -29,11 +29,11 @@
     pub rejected_by_servers: u32,
     /// Requests that were served later than their latency objective.
     pub late: u32,
-    /// Requests that were rejected.
+    /// Requests that nodes rejected.
     pub rejected: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Attempts sent to servers that do not respond, for whatever reason.
+    /// Attempts sent to servers that are partitioned, not running or unresponsive.
     pub to_unresponsive: u32,
     /// Work sent to servers with a long queue, in seconds on a standard core.
     pub work_to_long_queues: f64,
@@ -42,16 +42,16 @@
 /// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// By second from the start.
+    /// Totals by second since the start.
     pub seconds: Vec<Second>,
-    /// The rules that were broken.
+    /// Violations of rules.
     pub violations: Violations,
-    /// Of all commands that nodes have given.
+    /// Digest of all commands of nodes.
     pub commands: CommandDigest,
 }
 
 impl Report {
-    /// The second at this time from the start.
+    /// The totals of the second that contains this time since the start.
     pub fn second_at(&mut self, since_start: Time) -> &mut Second {
         let index = since_start.max(0.0) as usize;
         if self.seconds.len() <= index {
@@ -65,12 +65,12 @@
         self.seconds.iter().map(count).sum()
     }
 
-    /// Fraction of the priority weight that was earned.
+    /// Fraction of the offered priority weight that was earned.
     pub fn earned_fraction(&self) -> f64 {
         earned_fraction(&self.seconds)
     }
 
-    /// The same in the worst window of so many seconds.
+    /// The earned fraction in the worst window of this many seconds.
     pub fn worst_earned_fraction(&self, seconds: usize) -> f64 {
         let windows = self.seconds.windows(seconds.max(1));
         let full = windows.filter(|window| window.iter().all(|second| second.requests > 0));
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -12,8 +12,8 @@
 /// Longer than any run, in seconds.
 const WHOLE_RUN: f64 = 60.0;
 
-/// A fleet in two zones without disturbances, with 0.6 servers for each node.
-pub fn calm(nodes: usize, seed: u64) -> Plan {
+/// A fleet in two zones without disturbances, with 0.6 servers per node.
+pub fn undisturbed(nodes: usize, seed: u64) -> Plan {
     Plan {
         name: "calm".to_owned(),
         seed,
@@ -106,7 +106,7 @@
     }
 }
 
-/// The same with faulty servers: this fraction of them, half unresponsive and half slow.
+/// Adds faults to a plan: of this fraction of the servers, half are unresponsive and half are slow.
 pub fn with_faulty_servers(mut plan: Plan, fraction: f64) -> Plan {
     plan.name += " with faulty servers";
     for behavior in [ServerBehavior::Unresponsive, ServerBehavior::Slow(4.0)] {
@@ -120,11 +120,11 @@
     plan
 }
 
-/// Most nodes are killed at once during a release of the servers, and discovery fails for a while.
-pub fn herd(nodes: usize, seed: u64) -> Plan {
+/// 70% of the nodes are killed at once between two releases of the servers, while discovery is down.
+pub fn mass_kill(nodes: usize, seed: u64) -> Plan {
     let mut plan = Plan {
         name: "herd".to_owned(),
-        ..calm(nodes, seed)
+        ..undisturbed(nodes, seed)
     };
     plan.disturb(
         5.0,
@@ -151,11 +151,11 @@
     plan
 }
 
-/// A zone is lost and starts again, its servers with slow start.
-pub fn zone(nodes: usize, seed: u64) -> Plan {
+/// A zone is lost and restarts; its servers begin with slow start.
+pub fn zone_loss(nodes: usize, seed: u64) -> Plan {
     let mut plan = Plan {
         name: "zone".to_owned(),
-        ..calm(nodes, seed)
+        ..undisturbed(nodes, seed)
     };
     plan.disturb(
         6.0,
@@ -167,11 +167,11 @@
     plan
 }
 
-/// Six in ten servers are replaced within seven seconds.
-pub fn join(nodes: usize, seed: u64) -> Plan {
+/// 60% of the servers are replaced within seven seconds.
+pub fn server_replacement(nodes: usize, seed: u64) -> Plan {
     let mut plan = Plan {
         name: "join".to_owned(),
-        ..calm(nodes, seed)
+        ..undisturbed(nodes, seed)
     };
     plan.disturb(
         5.0,
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,37 +1,37 @@
-//! The model of a server: a core, a queue, a number of connections, and a slow start. [`crate::world`] has many of them.
+//! The model of a server: one core, a bounded queue, connections, and slow start.
 
 use crate::plan::{Plan, ServerBehavior};
 use reelfall_balancer::interface::{Endpoint, Time};
 use std::collections::VecDeque;
 
-/// Number of an attempt in its world.
+/// Number of an attempt within a run.
 pub type AttemptId = usize;
 
 /// Whether a server runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// It serves.
+    /// It runs and is reachable.
     Up,
-    /// It has ended: connections are refused, open ones are reset.
+    /// Its process has ended: new connections are refused, open ones are reset.
     Ended,
-    /// It is partitioned: no connection is established and nothing is received from it.
+    /// It is unreachable: no connection can be established and nothing is received from it.
     Lost,
 }
 
-/// Work that a server in its slow start has received.
+/// Work that a server received during its slow start.
 struct ReceivedWork {
     at: Time,
     work: f64,
-    /// The sender knew of the start.
+    /// Whether the sending node knew when the server had started.
     sender_knew: bool,
 }
 
-/// The load of a server in its slow start.
+/// The load of a server during its slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartLoad {
-    /// Received work, as a multiple of what the server can do in the same time.
+    /// Work received within the overload window, as a multiple of the server's capacity.
     pub factor: f64,
-    /// Fraction of it from senders who knew of the start.
+    /// Fraction of this work from nodes that knew when the server had started.
     pub informed_fraction: f64,
 }
 
@@ -39,30 +39,30 @@
 pub struct Server {
     /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Work per second when warm, in standard cores.
+    /// Work per second after slow start, in standard cores.
     pub speed: f64,
     /// Whether it runs.
     pub state: State,
-    /// How it behaves.
+    /// Its fault, if any.
     pub behavior: ServerBehavior,
-    /// Incremented when it ends: attempts that were sent to an earlier incarnation are not served.
+    /// Incremented when it ends; attempts that were sent to an earlier incarnation are not served.
     pub incarnation: u32,
-    /// Maximum length of its queue.
+    /// Maximum number of waiting attempts; further ones are rejected.
     pub queue_capacity: usize,
-    /// Work done since it started.
+    /// Work done since it started, in seconds on a standard core.
     pub work_done: f64,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: u32,
-    /// The attempt that it works on.
+    /// The attempt that it executes.
     pub running: Option<AttemptId>,
-    /// The attempts that wait, the next one at the front.
+    /// Waiting attempts, in the order of execution.
     pub queue: VecDeque<AttemptId>,
-    /// What it has received lately during its slow start.
+    /// Work received during slow start, within the overload window.
     received: VecDeque<ReceivedWork>,
 }
 
 impl Server {
-    /// A warm and idle server.
+    /// An idle server without fault.
     pub fn new(endpoint: Endpoint, speed: f64, queue_capacity: usize) -> Self {
         Server {
             endpoint,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The fraction of its capacity that it has at present.
+    /// Its current capacity as a fraction of its full capacity, which it reaches at the end of slow start.
     pub fn capacity_fraction(&self, now: Time, plan: &Plan) -> f64 {
         let slow_start = plan.slow_start;
         if self.endpoint.started_at <= 0.0 {
@@ -95,7 +95,7 @@
         slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress
     }
 
-    /// Work per second that it can do at present.
+    /// Its current capacity, in work per second.
     pub fn capacity(&self, now: Time, plan: &Plan) -> f64 {
         let slowdown = match self.behavior {
             ServerBehavior::Slow(factor) => factor,
@@ -104,7 +104,7 @@
         self.speed * self.capacity_fraction(now, plan) / slowdown
     }
 
-    /// The same, with the effect of a long queue.
+    /// Its current capacity, reduced by a long queue, in work per second.
     pub fn capacity_with_queue(&self, now: Time, plan: &Plan) -> f64 {
         let excess = self
             .queue
@@ -113,12 +113,12 @@
         self.capacity(now, plan) / (1.0 + plan.queue_slowdown.per_request * excess)
     }
 
-    /// When work that takes this long is done, with the pauses of the server.
+    /// When work that takes this long without pauses is completed, given the pauses of the server.
     pub fn completion_time(&self, now: Time, work_time: Time) -> Time {
         let ServerBehavior::Pausing { interval, duration } = self.behavior else {
             return now + work_time;
         };
-        // Servers pause at different times.
+        // The phase differs between servers, so that they do not pause at the same time.
         let phase = (self.endpoint.hash % 1000) as f64 / 1000.0 * interval;
         let since_pause_began = (now + phase).rem_euclid(interval);
         let working_time = interval - duration;
@@ -135,7 +135,7 @@
         now + rest_of_pause + work_time + further_pauses * duration
     }
 
-    /// Ends it, or partitions it; it loses its queue and its connections.
+    /// Ends it or makes it unreachable; its queue and connections are lost.
     pub fn end(&mut self, state: State) {
         self.state = state;
         self.incarnation += 1;
@@ -146,13 +146,13 @@
         self.work_done = 0.0;
     }
 
-    /// Starts it, with slow start.
+    /// Starts it; slow start begins.
     pub fn start(&mut self, now: Time) {
         self.state = State::Up;
         self.endpoint.started_at = now;
     }
 
-    /// Counts received work; returns the load during its slow start.
+    /// Records received work; returns the load, which is zero unless the server is in slow start.
     pub fn receive(
         &mut self,
         now: Time,
--- a/crates/emulator/src/trials.rs
+++ b/crates/emulator/src/trials.rs
@@ -1,5 +1,5 @@
-//! Six kinds of trials at the size of a whole fleet. Loads, speeds, timeouts, queues and the servers that are hit are sampled
-//! from the seed, so that nothing is tuned to one of them.
+//! Six kinds of trials with large fleets. Loads, speeds, timeouts, queues and the affected servers are sampled from the
+//! seed, so that the decision module is not tuned to a single configuration.
 
 use crate::plan::{
     ClientRetries, Disturbance, FirstZoneFractions, Latency, MachineType, Overload, Plan,
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use reelfall_balancer::interface::{Idempotency, Time};
 
-/// Time until the replacements of drained servers start, in seconds.
+/// Time from the drain of servers until their replacements start, in seconds.
 const RELEASE_DELAY: Time = 2.2;
 /// Longer than any run, in seconds.
 const WHOLE_RUN: Time = 60.0;
@@ -18,44 +18,44 @@
 /// A kind of trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trial {
-    /// A traffic surge by half, and a shift between zones.
-    Calm,
-    /// Half of the servers are replaced in steps while all nodes are restarted.
-    Roll,
-    /// A release; seven in ten nodes are killed at once; one of eight servers is faulty.
-    Herd,
-    /// A zone is lost and comes back, and is partitioned later; one of eight servers is faulty.
-    Zone,
-    /// A partition of a zone, while discovery fails and responses are lost.
-    Split,
-    /// Six in ten servers are replaced within seven seconds.
-    Join,
+    /// Traffic surges to 1.5 times its rate and shifts between zones.
+    TrafficChanges,
+    /// Half of the servers are replaced in steps during a rolling restart of all nodes.
+    RollingRestart,
+    /// 70% of the nodes are killed at once between two releases of the servers; one in eight servers is faulty.
+    MassKill,
+    /// A zone is lost and returns; later the second zone is partitioned. One in eight servers is faulty.
+    ZoneLoss,
+    /// A zone is partitioned while discovery is down and responses are lost.
+    Partition,
+    /// 60% of the servers are replaced within seven seconds while responses are lost.
+    ServerReplacement,
 }
 
 impl Trial {
     /// All trials.
     pub const ALL: [Trial; 6] = [
-        Trial::Calm,
-        Trial::Roll,
-        Trial::Herd,
-        Trial::Zone,
-        Trial::Split,
-        Trial::Join,
+        Trial::TrafficChanges,
+        Trial::RollingRestart,
+        Trial::MassKill,
+        Trial::ZoneLoss,
+        Trial::Partition,
+        Trial::ServerReplacement,
     ];
 
-    /// Its name.
+    /// The name by which it is selected on the command line; it also seeds its random numbers.
     pub fn name(self) -> &'static str {
         match self {
-            Trial::Calm => "calm",
-            Trial::Roll => "roll",
-            Trial::Herd => "herd",
-            Trial::Zone => "zone",
-            Trial::Split => "split",
-            Trial::Join => "join",
+            Trial::TrafficChanges => "calm",
+            Trial::RollingRestart => "roll",
+            Trial::MassKill => "herd",
+            Trial::ZoneLoss => "zone",
+            Trial::Partition => "split",
+            Trial::ServerReplacement => "join",
         }
     }
 
-    /// Its plan for this many nodes.
+    /// Samples the plan of a run with this many nodes.
     pub fn plan(self, nodes: usize, seed: u64) -> Plan {
         let rng = &mut stream(seed, self.name());
         let mut plan = base(nodes, seed, rng);
@@ -69,12 +69,12 @@
 
     fn disturbances(self, rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
         match self {
-            Trial::Calm => calm(rng),
-            Trial::Roll => roll(),
-            Trial::Herd => herd(rng),
-            Trial::Zone => zone(rng),
-            Trial::Split => split(rng),
-            Trial::Join => join(),
+            Trial::TrafficChanges => traffic_changes(rng),
+            Trial::RollingRestart => rolling_restart(),
+            Trial::MassKill => mass_kill(rng),
+            Trial::ZoneLoss => zone_loss(rng),
+            Trial::Partition => partition(rng),
+            Trial::ServerReplacement => server_replacement(),
         }
     }
 }
@@ -83,7 +83,7 @@
     ScheduledDisturbance { at, disturbance }
 }
 
-/// A release of the servers' software: this fraction of them is replaced.
+/// A release of the servers' software, which replaces this fraction of them.
 fn release(fraction: f64) -> Disturbance {
     Disturbance::ReplaceServers {
         fraction,
@@ -91,7 +91,7 @@
     }
 }
 
-fn calm(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+fn traffic_changes(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let surge_at = rng.random_range(5.0..8.0);
     let shift_at = rng.random_range(8.0..12.0);
     let first_zone_fraction = rng.random_range(0.3..0.7);
@@ -112,7 +112,7 @@
     ]
 }
 
-fn roll() -> Vec<ScheduledDisturbance> {
+fn rolling_restart() -> Vec<ScheduledDisturbance> {
     let restart = Disturbance::RollingRestart {
         steps: 10,
         interval: 1.2,
@@ -123,7 +123,7 @@
     all
 }
 
-fn herd(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+fn mass_kill(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let down_for = rng.random_range(0.8..2.0);
     let behaviors = [
         ServerBehavior::Unresponsive,
@@ -144,7 +144,7 @@
     ]
 }
 
-fn zone(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+fn zone_loss(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let zone = rng.random_range(0..2);
     vec![
         scheduled(
@@ -165,7 +165,7 @@
     ]
 }
 
-fn split(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
+fn partition(rng: &mut Pcg64Mcg) -> Vec<ScheduledDisturbance> {
     let zone = rng.random_range(0..2);
     let fraction = rng.random_range(0.01..0.06);
     vec![
@@ -187,7 +187,7 @@
     ]
 }
 
-fn join() -> Vec<ScheduledDisturbance> {
+fn server_replacement() -> Vec<ScheduledDisturbance> {
     vec![
         scheduled(5.5, release(0.3)),
         scheduled(8.0, release(0.3)),
@@ -201,7 +201,7 @@
     ]
 }
 
-/// One of eight servers has one of these faults, as long as the run lasts.
+/// One in eight servers has one of these faults from a sampled time until the end of the run.
 fn faulty_servers(rng: &mut Pcg64Mcg, behaviors: &[ServerBehavior]) -> ScheduledDisturbance {
     let behavior = behaviors[rng.random_range(0..behaviors.len())];
     let from = rng.random_range(3.0..5.0);
@@ -215,7 +215,7 @@
     )
 }
 
-/// A fault that each trial has beside its own disturbances.
+/// An additional sampled fault that every trial has.
 fn background_fault(rng: &mut Pcg64Mcg) -> Disturbance {
     match rng.random_range(0..3) {
         0 => Disturbance::ServerFault {
@@ -239,7 +239,8 @@
     }
 }
 
-/// Flag servers of three types in two zones, with hundreds of nodes. The fields are in the order in which they are sampled.
+/// A fleet in two zones with servers of three machine types, without disturbances. The order of the fields determines the
+/// order in which their random numbers are drawn.
 fn base(nodes: usize, seed: u64, rng: &mut Pcg64Mcg) -> Plan {
     Plan {
         name: String::new(),
@@ -321,7 +322,7 @@
     vec![read, write, rollout]
 }
 
-/// Servers of this mean speed, whose weights the list does not state.
+/// Servers of this mean speed, within 15%. All have the same listed weight, so that it does not reveal their speed.
 fn machine_type(server_fraction: f64, mean_speed: f64) -> MachineType {
     let speed = 0.85 * mean_speed..=1.15 * mean_speed;
     MachineType {
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, and the front end that sends their requests to nodes.
+//! Clients, and the front end that distributes their requests to nodes.
 
 use super::model::{ClientAttempt, ClientAttemptId, Event, NodeId, NodeIncarnation};
 use super::{World, ANSWER_SLACK, START};
@@ -9,17 +9,17 @@
 use reelfall_balancer::engine::{Arrival, FinalAnswer};
 use reelfall_balancer::interface::{ClassId, Idempotency, Time, ZoneId};
 
-/// Coefficient of variation of a client's estimate of the work of a request.
+/// Coefficient of variation of the work hint of a request around its work.
 const HINT_VARIATION: f64 = 0.5;
-/// Coefficient of variation of the work of two requests of one class.
+/// Coefficient of variation of the work of requests of one class.
 const WORK_VARIATION: f64 = 0.5;
-/// Ratio of an impatient client's timeout to the usual one.
+/// Timeout of an impatient client, as a fraction of the usual one.
 const IMPATIENT_TIMEOUT_RATIO: f64 = 1.0 / 3.0;
-/// A client does not retry with less time left than this, in seconds.
+/// Minimum time before the deadline at which a client still retries, in seconds.
 const MIN_RETRY_TIME: Time = 0.02;
 
 impl World {
-    /// A client sends a new request, and the next one is scheduled.
+    /// Sends a new request of a client, and schedules the next one.
     pub(super) fn send_new_request(&mut self) {
         let now = self.queue.now();
         if now > START + self.plan.duration {
@@ -85,7 +85,7 @@
         class.unwrap_or(0)
     }
 
-    /// The node that the front end selects: one of the client's zone, if there is any.
+    /// Selects a node as the front end does: a random one of the client's zone, or of any zone if there is none.
     fn select_node(&mut self, zone: ZoneId) -> Option<NodeId> {
         let now = self.queue.now();
         let failover_delay = self.plan.failover_delay;
@@ -107,7 +107,7 @@
         (!nodes.is_empty()).then(|| nodes[random.random_range(0..nodes.len())])
     }
 
-    /// A client sends its request to a node. If there is none, nothing runs and the client retries.
+    /// Sends a request of a client to a node. If no node is available, nothing is executed and the client retries.
     pub(super) fn send_client_attempt(&mut self, id: ClientAttemptId) {
         let now = self.queue.now();
         let selected = self.select_node(self.client_attempts[id].zone);
@@ -132,7 +132,7 @@
         });
     }
 
-    /// The client retries its request, if it does and there is time.
+    /// Schedules a retry by the client, if its retry limit and deadline permit.
     pub(super) fn retry(&mut self, id: ClientAttemptId, retry_after: Option<Time>) {
         let now = self.queue.now();
         let retries = self.plan.client_retries;
@@ -156,7 +156,7 @@
             .schedule(at, Event::ClientAttempt(self.client_attempts.len() - 1));
     }
 
-    /// A client receives a final answer.
+    /// Delivers a final answer to a client.
     pub(super) fn receive_answer(&mut self, id: ClientAttemptId, answer: &FinalAnswer<()>) {
         let now = self.queue.now();
         let attempt = &mut self.client_attempts[id];
@@ -187,7 +187,7 @@
         }
     }
 
-    /// What is earned counts for the second in which the request was first sent.
+    /// Counts a served request. The earned weight counts for the second in which the request was first sent.
     fn count_served(&mut self, id: ClientAttemptId) {
         let now = self.queue.now();
         let served = &self.client_attempts[id];
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Checks that every request whose node did not go down was answered.
+    /// Checks that every request was answered by its deadline, unless its node went down.
     pub(super) fn check_answers(&mut self) {
         let now = self.queue.now();
         for (id, attempt) in self.client_attempts.iter().enumerate() {
--- a/crates/emulator/src/world/disturbances.rs
+++ b/crates/emulator/src/world/disturbances.rs
@@ -1,4 +1,4 @@
-//! The disturbances of the plan, at their times.
+//! Executes the disturbances of the plan.
 
 use super::model::{ClientAttempt, Event, NodeId, NodeIncarnation, RestartWindow};
 use super::servers::make_server;
@@ -9,13 +9,13 @@
 use rand_pcg::Pcg64Mcg;
 use reelfall_balancer::interface::{Idempotency, ServerId, ServerState, Time};
 
-/// How long a flapping entry states each of its states, in seconds.
+/// Time between two announcements of a flapping entry, in seconds.
 const FLAP_INTERVAL: Time = 0.15;
-/// How long a node that is about to be restarted completes its requests, in seconds.
+/// Time in which a node completes its requests before a planned restart, in seconds.
 const GRACEFUL_SHUTDOWN: Time = 0.7;
-/// The servers of a lost zone start later than its nodes by this, in seconds.
+/// Delay between the restart of a lost zone's nodes and that of its servers, in seconds.
 const SERVER_START_DELAY: Time = 0.3;
-/// Time that a server has to drain beyond what notifications take, in seconds.
+/// Time for a server to drain after all nodes were notified, in seconds.
 const DRAIN_TIME: Time = 1.0;
 
 impl World {
@@ -24,7 +24,7 @@
         let now = self.queue.now();
         match self.plan.disturbances[index].disturbance.clone() {
             Disturbance::KillNodes { fraction, down_for } => {
-                let nodes = self.some_nodes(fraction);
+                let nodes = self.sample_nodes(fraction);
                 self.kill_nodes(nodes, down_for);
             }
             Disturbance::LoseZone { zone, down_for } => self.lose_zone(zone, down_for),
@@ -73,28 +73,28 @@
 
     /// Ends this fraction of the servers without draining.
     fn end_servers(&mut self, fraction: f64) {
-        for server in self.some_servers(fraction) {
+        for server in self.sample_servers(fraction) {
             self.end_server(server, State::Ended);
             self.announce(server, ServerState::Removed);
         }
     }
 
-    /// Sends no requests to this fraction of the nodes until a time.
+    /// Makes the front end send no requests to this fraction of the nodes until a time.
     fn idle_nodes(&mut self, fraction: f64, until: Time) {
-        for node in self.some_nodes(fraction) {
+        for node in self.sample_nodes(fraction) {
             self.nodes[node].idle_until = until;
         }
     }
 
     /// Sets the behavior of this fraction of the servers until a time.
     fn impair_servers(&mut self, fraction: f64, behavior: ServerBehavior, until: Time) {
-        let servers = self.some_servers(fraction);
+        let servers = self.sample_servers(fraction);
         self.set_behavior(&servers, behavior);
         self.queue.schedule(until, Event::RecoverServers(servers));
     }
 
-    /// A random selection of the healthy servers: this fraction of all.
-    fn some_servers(&mut self, fraction: f64) -> Vec<ServerId> {
+    /// Selects healthy servers at random; the fraction is of the initial number of servers.
+    fn sample_servers(&mut self, fraction: f64) -> Vec<ServerId> {
         let is_healthy = |server: &&Server| {
             server.state == State::Up
                 && server.endpoint.state == ServerState::Up
@@ -107,8 +107,8 @@
         servers
     }
 
-    /// A random selection of this fraction of the nodes.
-    fn some_nodes(&mut self, fraction: f64) -> Vec<NodeId> {
+    /// Selects this fraction of the nodes at random.
+    fn sample_nodes(&mut self, fraction: f64) -> Vec<NodeId> {
         let mut nodes: Vec<NodeId> = (0..self.nodes.len()).collect();
         shuffle(&mut nodes, &mut self.machine_random);
         nodes.truncate((fraction * self.nodes.len() as f64).round() as usize);
@@ -140,7 +140,7 @@
 
     fn replace_servers(&mut self, fraction: f64, after: Time) {
         let now = self.queue.now();
-        let old = self.some_servers(fraction);
+        let old = self.sample_servers(fraction);
         let mut new = Vec::new();
         for id in &old {
             self.announce(*id, ServerState::Draining);
@@ -157,7 +157,7 @@
 
     fn flap_entries(&mut self, fraction: f64, count: u32) {
         let now = self.queue.now();
-        for server in self.some_servers(fraction) {
+        for server in self.sample_servers(fraction) {
             for flap in 0..count {
                 let off = now + f64::from(2 * flap) * FLAP_INTERVAL;
                 let on = now + f64::from(2 * flap + 1) * FLAP_INTERVAL;
@@ -171,7 +171,7 @@
 
     fn restart_all_nodes(&mut self, steps: u32, interval: Time, down_for: Time) {
         let now = self.queue.now();
-        let order = self.some_nodes(1.0);
+        let order = self.sample_nodes(1.0);
         let size = order.len().div_ceil(steps.max(1) as usize).max(1);
         for (step, nodes) in order.chunks(size).enumerate() {
             let end = now + step as f64 * interval + GRACEFUL_SHUTDOWN;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// A node goes down with its connections. Clients that waited for it retry if that is harmless.
+    /// Takes a node down and closes its connections. Clients that wait for its answers retry idempotent requests.
     pub(super) fn kill_node(&mut self, id: NodeId) {
         let now = self.queue.now();
         let node = &mut self.nodes[id];
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,19 +1,19 @@
-//! Executes a plan: nodes with the decision module of real nodes, over modelled clients, servers and connections.
+//! Executes a plan: nodes that run the production decision module, with modelled clients, servers and connections.
 //!
 //! | state | owner | ends |
 //! | --- | --- | --- |
 //! | request of a client | `World::client_attempts` | with the run |
-//! | attempt of a node | `World::attempts` | with the run; in `World::in_flight` until its node knows its end, or goes down |
-//! | connection | the server's count, and its node's idle ones or an attempt | at its idle timeout, or with either side |
-//! | incarnation of a node or server | itself | a later one ignores what belongs to an earlier one |
+//! | attempt of a node | `World::attempts` | with the run; in `World::in_flight` until its node is notified of its end or goes down |
+//! | connection | the server's count, and its node's idle connections or an attempt | at its idle timeout, or with either side |
+//! | incarnation of a node or server | the node or server | at its restart; events of earlier incarnations are ignored |
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `model` | nodes, attempts and events |
 //! | `settings` | the settings of nodes |
-//! | `clients` | clients, and the front end that sends their requests to nodes |
-//! | `nodes` | the commands of nodes, their connections and notifications |
-//! | `servers` | servers and what the endpoint list says of them |
+//! | `clients` | clients, and the front end that distributes their requests to nodes |
+//! | `nodes` | the commands and connections of nodes, and their updates of the endpoint list |
+//! | `servers` | execution of attempts at servers, and announcements of the endpoint list |
 //! | `disturbances` | the disturbances of the plan |
 
 mod clients;
@@ -41,11 +41,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// When a run starts. Not at 0, which stands for a start long ago.
+/// Time at which a run starts. It is not 0, since servers with a start time of 0 count as started long ago.
 const START: Time = 1000.0;
-/// How long a run goes on after the last request, in seconds, for its answer to arrive.
+/// How long a run continues after the last request, in seconds, so that answers can arrive.
 const END_MARGIN: Time = 2.0;
-/// How long after its deadline a final answer is still in time, in seconds.
+/// Tolerance for final answers after their deadline, in seconds.
 const ANSWER_SLACK: Time = 0.005;
 /// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 4;
@@ -53,15 +53,15 @@
 /// Why a plan can't be executed.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// Something is missing.
-    #[error("a plan has a node, a server, a class and a kind at least")]
+    /// It has no nodes, servers, request classes or machine types.
+    #[error("a plan needs at least one node, server, request class and machine type")]
     Incomplete,
-    /// The settings that follow from it can't be used.
+    /// The settings derived from it are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A value that is valid until a time.
+/// A value that applies until a time.
 #[derive(Clone, Copy, Debug)]
 struct Until<T> {
     value: T,
@@ -73,7 +73,7 @@
         Until { value, until }
     }
 
-    /// A value that is not valid at any time of a run.
+    /// A value that never applies.
     fn never(value: T) -> Until<T> {
         Until::new(value, 0.0)
     }
@@ -92,13 +92,13 @@
     request_rate: f64,
     /// Until when the endpoint list reports no changes.
     discovery_outage_until: Time,
-    /// The zone that is partitioned.
+    /// The partitioned zone.
     partition: Until<ZoneId>,
     /// Fraction of the responses that are lost.
     lost_responses: Until<f64>,
-    /// How many times as many requests clients send.
+    /// Factor on the request rate during a traffic surge.
     surge: Until<f64>,
-    /// How many times slower all servers are.
+    /// Factor by which work takes longer at all servers.
     common_slowdown: f64,
     /// Fraction of the clients in the first zone.
     first_zone_fraction: f64,
@@ -111,7 +111,7 @@
 /// Executes a plan to its end.
 ///
 /// # Errors
-/// If the plan can't be used.
+/// If the plan is incomplete or its settings are invalid.
 pub fn run_plan(plan: Plan) -> Result<Report, PlanError> {
     let is_incomplete = plan.nodes == 0
         || plan.servers == 0
@@ -232,7 +232,7 @@
         }
     }
 
-    /// A node that went down twice may be up already.
+    /// Starts nodes, except those that are already up because they went down more than once.
     fn start_nodes(&mut self, nodes: &[NodeId]) -> Result<(), PlanError> {
         for node in nodes {
             if self.nodes[*node].engine.is_none() {
--- a/crates/emulator/src/world/model.rs
+++ b/crates/emulator/src/world/model.rs
@@ -1,4 +1,4 @@
-//! What there is in a world: requests of clients, attempts of nodes, nodes, and the events that are due.
+//! The data model of a run: nodes, requests of clients, attempts of nodes, and events.
 
 use crate::server::AttemptId;
 use reelfall_balancer::engine::{Engine, Host};
@@ -12,28 +12,28 @@
 /// Number of a node.
 pub(super) type NodeId = usize;
 
-/// The engine's host in virtual time.
-pub(super) struct Virtual;
+/// The types by which the engine refers to requests and servers in virtual time.
+pub(super) struct EmulatedHost;
 
-impl Host for Virtual {
+impl Host for EmulatedHost {
     type Payload = ClientAttemptId;
     type Reply = ClientAttemptId;
     type Address = ServerId;
     type Answer = ();
 }
 
-/// An incarnation of a node.
+/// A node together with the number of its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NodeIncarnation {
     pub(super) node: NodeId,
     pub(super) incarnation: u32,
 }
 
-/// Something that is due.
+/// An event of the queue.
 pub(super) enum Event {
     /// A client sends a new request.
     NewRequest,
-    /// A client sends a request to a node, for the first time or again.
+    /// A client sends a request to a node, for the first time or as a retry.
     ClientAttempt(ClientAttemptId),
     /// The last byte of an attempt has reached its server.
     AttemptReceived(AttemptId),
@@ -57,22 +57,22 @@
     /// The disturbance with this index.
     Disturbance(usize),
     StartNodes(Vec<NodeId>),
-    /// Nodes end after they have completed their requests, and start again.
+    /// Nodes end after they have completed their requests, and restart later.
     RestartNodes {
         nodes: Vec<NodeId>,
         down_for: Time,
     },
     StartServers(Vec<ServerId>),
     EndServers(Vec<ServerId>),
-    /// Servers behave as they should again.
+    /// The faults of servers end.
     RecoverServers(Vec<ServerId>),
-    /// The common slowdown is over.
+    /// The common slowdown ends.
     EndCommonSlowdown,
-    /// The list states this of a server, whether or not it is true.
+    /// The endpoint list announces this state of a server, which may differ from the actual one.
     Announce(ServerId, ServerState),
 }
 
-/// A request that a client sends to a node. A retry of the client is another one.
+/// A request that a client sends to a node. Each retry by the client is a separate one.
 pub(super) struct ClientAttempt {
     pub(super) class: usize,
     pub(super) work: f64,
@@ -87,12 +87,12 @@
     pub(super) client_deadline: Time,
     /// How long the client waits for each of its attempts.
     pub(super) timeout: Time,
-    /// The node that got it, if any.
+    /// The node that received it, if any.
     pub(super) node: Option<NodeIncarnation>,
     /// When its answer is due.
     pub(super) deadline: Time,
     pub(super) is_answered: bool,
-    /// How often servers have begun to run it.
+    /// How often servers have begun to execute it.
     pub(super) executions: u32,
 }
 
@@ -100,14 +100,14 @@
 pub(super) struct Attempt {
     pub(super) node: NodeId,
     pub(super) request: RequestId,
-    /// The number of the attempt within the request.
+    /// Number of the attempt within the request, from 0.
     pub(super) number: u32,
     pub(super) client_attempt: ClientAttemptId,
     pub(super) server: ServerId,
     pub(super) server_incarnation: u32,
-    /// It opened a connection.
+    /// Whether it needed a new connection.
     pub(super) is_new_connection: bool,
-    /// Its connection was established.
+    /// Whether its connection was established.
     pub(super) is_connected: bool,
 }
 
@@ -118,36 +118,36 @@
     pub(super) server_incarnation: u32,
 }
 
-/// When a node accepts no requests, as it is about to be restarted.
+/// A period in which a node accepts no requests because of a restart.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RestartWindow {
     pub(super) from: Time,
     pub(super) to: Time,
 }
 
-/// A node.
+/// The state of a node.
 pub(super) struct Node {
     pub(super) zone: ZoneId,
-    /// How late it is notified of changes, as a fraction of the notification delay.
+    /// Additional delay of its notifications, as a fraction of the minimum notification delay.
     pub(super) lateness: f64,
     pub(super) incarnation: u32,
     /// `None` while it is down.
-    pub(super) engine: Option<Engine<Virtual>>,
-    /// When it went down last.
+    pub(super) engine: Option<Engine<EmulatedHost>>,
+    /// When it last went down.
     pub(super) went_down_at: Time,
-    /// Until when it gets no requests.
+    /// Until when it receives no requests.
     pub(super) idle_until: Time,
     pub(super) restarts: Vec<RestartWindow>,
-    /// Idle connections by server, the latest last.
+    /// Idle connections by server, the most recently used last.
     pub(super) idle_connections: BTreeMap<ServerId, Vec<IdleConnection>>,
-    /// The endpoint list as it was notified, also while it is down.
+    /// The endpoint list of which it was notified; updated also while it is down.
     pub(super) endpoints: BTreeMap<ServerId, Endpoint>,
-    /// Since when it knows that a server takes no new requests.
+    /// Since when it knows that a server is draining or removed.
     pub(super) unavailable_since: BTreeMap<ServerId, Time>,
 }
 
 impl Node {
-    /// Whether the front end sends requests to it. That it is down is noticed late.
+    /// Whether the front end sends requests to it. The front end detects that a node is down after `failover_delay`.
     pub(super) fn takes_requests(&self, now: Time, failover_delay: Time) -> bool {
         (self.engine.is_some() || now - self.went_down_at < failover_delay)
             && self.idle_until <= now
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -1,7 +1,7 @@
-//! Nodes: their commands, their connections, and the updates of the endpoint list that they receive.
+//! Nodes: execution of their commands, their connections, and updates of their endpoint lists.
 
 use super::model::{
-    Attempt, ClientAttemptId, Event, IdleConnection, NodeId, NodeIncarnation, Virtual,
+    Attempt, ClientAttemptId, EmulatedHost, Event, IdleConnection, NodeId, NodeIncarnation,
 };
 use super::{World, START};
 use crate::plan::ServerBehavior;
@@ -13,17 +13,17 @@
     Endpoint, Outcome, RequestId, ServerId, ServerState, Time, UpdateKind,
 };
 
-/// How long after it was notified of a drain a node may still send to the server, in seconds.
+/// How long a node may still send to a server after it was notified of its drain, in seconds.
 pub(super) const DRAIN_GRACE: Time = 0.5;
-/// Nodes use an idle connection for this fraction of the idle timeout.
+/// Maximum time that a connection has been idle when a node reuses it, as a fraction of the idle timeout.
 const IDLE_REUSE_FRACTION: f64 = 0.8;
-/// Minimum latency, as a ratio to the mean.
+/// Minimum latency, as a fraction of the mean.
 const MIN_LATENCY_RATIO: f64 = 0.8;
-/// Maximum latency less the minimum, as a ratio to the mean.
+/// Difference between maximum and minimum latency, as a fraction of the mean.
 const LATENCY_RANGE_RATIO: f64 = 0.4;
-/// One-way latencies that a refused connection takes.
+/// Time until a node learns that a connection was refused, in one-way latencies.
 const REFUSAL_LATENCIES: f64 = 2.0;
-/// One-way latencies until a request arrives on a new connection.
+/// Time until a request arrives on a new connection, in one-way latencies.
 const NEW_CONNECTION_LATENCIES: f64 = 4.0;
 
 /// An attempt that a node sends.
@@ -34,23 +34,23 @@
     deadline: Time,
 }
 
-/// How the connection for an attempt is obtained.
+/// The result of obtaining a connection for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Connection {
     Reused,
     Opened,
     /// The server refuses it.
     Refused,
-    /// Nothing is received.
+    /// The server is unreachable, so that the connection attempt times out.
     TimedOut,
 }
 
 impl World {
-    /// Calls a node's engine and carries out its commands.
+    /// Calls a node's engine, if the node is up, and executes its commands.
     pub(super) fn drive(
         &mut self,
         node: NodeId,
-        call: impl FnOnce(&mut Engine<Virtual>, Time, &mut Vec<Command<Virtual>>),
+        call: impl FnOnce(&mut Engine<EmulatedHost>, Time, &mut Vec<Command<EmulatedHost>>),
     ) {
         let now = self.queue.now();
         let Some(engine) = self.nodes[node].engine.as_mut() else {
@@ -59,11 +59,11 @@
         let mut commands = Vec::new();
         call(engine, now, &mut commands);
         for command in commands {
-            self.carry_out(node, command);
+            self.execute(node, command);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, command: Command<Virtual>) {
+    fn execute(&mut self, node: NodeId, command: Command<EmulatedHost>) {
         let now = self.queue.now();
         self.report.commands.add(now, node, &command);
         match command {
@@ -94,12 +94,12 @@
                 let idle = self.nodes[node].idle_connections.remove(&server);
                 self.servers[server as usize].close_idle(&idle.unwrap_or_default());
             }
-            // Lists are pushed, the balancer cancels no attempts, and identifiers are never reused here.
+            // Endpoint lists are pushed, the balancer cancels no attempts here, and server identifiers are never reused.
             Command::CancelAttempt { .. } | Command::Watch | Command::ReleaseServerId { .. } => {}
         }
     }
 
-    /// The one-way latency between a node and a server.
+    /// Samples the one-way latency between a node and a server.
     pub(super) fn latency(&mut self, node: NodeId, server: ServerId) -> Time {
         let is_same_zone = self.nodes[node].zone == self.servers[server as usize].endpoint.zone;
         let latency = self.plan.latency;
@@ -111,7 +111,7 @@
         mean * (MIN_LATENCY_RATIO + LATENCY_RANGE_RATIO * self.network_random.random::<f64>())
     }
 
-    /// Takes an idle connection of a node to a server; those that are too old are closed.
+    /// Takes an idle connection of a node to a server, if there is one, and closes those that are too old.
     fn take_idle_connection(&mut self, node: NodeId, id: ServerId) -> bool {
         let now = self.queue.now();
         let max_age = IDLE_REUSE_FRACTION * self.plan.idle_timeout;
@@ -172,7 +172,7 @@
         second.to_unresponsive += u32::from(is_unresponsive);
     }
 
-    /// Checks the rules that concern the sending of attempts.
+    /// Checks the rules on sending attempts.
     fn check_attempt(&mut self, node: NodeId, server: ServerId, of: ClientAttemptId) {
         let now = self.queue.now();
         if self.client_attempts[of].is_answered {
@@ -221,7 +221,7 @@
         }
     }
 
-    /// A node is notified of the end of an attempt, unless it has ended before.
+    /// Notifies a node of the end of an attempt, unless the attempt has ended before.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.queue.now();
         if !self.in_flight.remove(&id) {
@@ -243,7 +243,7 @@
         });
     }
 
-    /// The connection of an attempt becomes idle after a response, and is closed otherwise.
+    /// Makes the connection of an attempt idle after a response, and closes it otherwise.
     fn release_connection(&mut self, id: AttemptId, outcome: Outcome) {
         let since = self.queue.now();
         let attempt = &self.attempts[id];
@@ -268,7 +268,7 @@
         }
     }
 
-    /// A node is notified of the endpoint list.
+    /// Notifies a node of the endpoint list or of changes to it.
     pub(super) fn notify(&mut self, node: NodeId, kind: UpdateKind, endpoints: Vec<Endpoint>) {
         let addressed = |endpoint: Endpoint| AddressedEndpoint {
             address: endpoint.server,
@@ -280,7 +280,7 @@
         });
     }
 
-    /// A node is notified of a change; one that is down finds it when it starts.
+    /// Notifies a node of a change of the endpoint list. A node that is down applies it when it starts.
     pub(super) fn notify_of_change(&mut self, id: NodeId, endpoint: Endpoint) {
         let now = self.queue.now();
         let node = &mut self.nodes[id];
@@ -295,7 +295,7 @@
 }
 
 impl Server {
-    /// Closes idle connections of a node; those to earlier incarnations are closed already.
+    /// Closes idle connections of a node; those to earlier incarnations of the server are already closed.
     pub(super) fn close_idle(&mut self, idle: &[IdleConnection]) {
         let is_open =
             |connection: &&IdleConnection| connection.server_incarnation == self.incarnation;
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: the work that they receive, what they can do, and what the endpoint list says of them.
+//! Servers: execution of attempts, load in slow start, and announcements of the endpoint list.
 
 use super::model::{Event, NodeId};
 use super::{World, START};
@@ -12,15 +12,15 @@
     Endpoint, Idempotency, MachineTypeId, Outcome, ServerId, ServerState, ZoneId,
 };
 
-/// Coefficient of variation of the work of two attempts of one request.
+/// Coefficient of variation of the work of an attempt around that of its request.
 const ATTEMPT_VARIATION: f64 = 0.3;
-/// A queue with more work than this, in seconds of the server's capacity, is long.
+/// Work in a queue beyond which it counts as long, in seconds of the server's capacity.
 const LONG_QUEUE: f64 = 0.3;
-/// An overload breaks the rule if this fraction of the work is from nodes that knew of the start.
+/// Minimum fraction of the work from nodes that knew when the server had started, for an overload to violate the rule.
 const INFORMED_FRACTION: f64 = 2.0 / 3.0;
 
 impl World {
-    /// An attempt arrives at its server.
+    /// Handles the arrival of an attempt at its server.
     pub(super) fn receive_attempt(&mut self, id: AttemptId) {
         let now = self.queue.now();
         let attempt = &self.attempts[id];
@@ -31,7 +31,7 @@
         let is_partitioned = self.is_partitioned(node, server_id);
         let server = &self.servers[server_id as usize];
         if server.incarnation != incarnation || server.state != State::Up || is_partitioned {
-            // A server that has ended has reset the connection; one that is partitioned sends nothing.
+            // An ended server resets the connection; an unreachable one sends nothing.
             if server.state != State::Lost && !is_partitioned {
                 let event = Event::AttemptEnded(id, Outcome::ConnectionLost);
                 self.queue.schedule(now + latency, event);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether nothing passes between a node and a server.
+    /// Whether a partition separates a node from a server.
     pub(super) fn is_partitioned(&self, node: NodeId, server: ServerId) -> bool {
         let node_zone = self.nodes[node].zone;
         let server_zone = self.servers[server as usize].endpoint.zone;
@@ -72,7 +72,7 @@
             && (node_zone == zone || server_zone == zone)
     }
 
-    /// Adds work to the load of a server. One in its slow start ends if that is too much.
+    /// Adds work to the load of a server; an overload in slow start ends the server.
     fn add_load(&mut self, node: NodeId, id: ServerId, work: f64) {
         let now = self.queue.now();
         let server = &mut self.servers[id as usize];
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Runs the next attempt of the queue, if the server is idle.
+    /// Starts to execute the next attempt of the queue, if the server is idle.
     fn run_next(&mut self, id: ServerId) {
         let now = self.queue.now();
         let server = &mut self.servers[id as usize];
@@ -144,7 +144,7 @@
         self.queue.schedule(done_at, event);
     }
 
-    /// A server has completed the work of an attempt; its response may be lost.
+    /// Completes the work of an attempt and sends the response, which may be lost.
     pub(super) fn complete_work(&mut self, id: ServerId, incarnation: u32, attempt: AttemptId) {
         let server = &mut self.servers[id as usize];
         if server.incarnation != incarnation || server.running != Some(attempt) {
@@ -169,7 +169,7 @@
         self.run_next(id);
     }
 
-    /// Ends or partitions a server. Attempts at one that ends lose their connections.
+    /// Ends a server or makes it unreachable. If it ends, its attempts lose their connections.
     pub(super) fn end_server(&mut self, id: ServerId, state: State) {
         let now = self.queue.now();
         self.servers[id as usize].end(state);
@@ -188,8 +188,8 @@
         }
     }
 
-    /// The endpoint list states this of a server. Each node is notified with a delay of its own that is always the same, so
-    /// that no change overtakes another.
+    /// Announces a state of a server in the endpoint list. The notification delay differs between nodes but is constant for
+    /// each, so that a node receives changes in order.
     pub(super) fn announce(&mut self, id: ServerId, state: ServerState) {
         let from = self.queue.now().max(self.discovery_outage_until);
         let endpoint = &mut self.servers[id as usize].endpoint;
@@ -203,7 +203,7 @@
     }
 }
 
-/// A server with sampled machine type, zone, speed and queue.
+/// Creates a server with sampled machine type, zone, speed and queue capacity.
 pub(super) fn make_server(plan: &Plan, random: &mut Pcg64Mcg, id: usize) -> Server {
     let mut point = random.random::<f64>();
     let machine_type = plan.machine_types.iter().position(|machine_type| {
--- a/crates/emulator/src/world/settings.rs
+++ b/crates/emulator/src/world/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that nodes are given.
+//! The balancer settings of nodes.
 
 use super::nodes::DRAIN_GRACE;
 use super::{NodeId, World, MAX_ATTEMPTS};
@@ -7,11 +7,11 @@
     Class, Costs, Discovery, Limits, LoadReports, Objective, Rules, Settings, Tenant,
 };
 
-/// Quota of all clients, as a multiple of the mean request rate.
+/// Quota of the only tenant, as a multiple of the mean request rate.
 const QUOTA_FACTOR: f64 = 1.2;
-/// The settings promise this fraction of the real initial capacity of servers.
+/// Initial capacity in the settings, as a fraction of the actual initial capacity of servers.
 const STATED_CAPACITY_FACTOR: f64 = 0.8;
-/// The settings state this multiple of the real duration of a slow start.
+/// Slow start duration in the settings, as a multiple of the actual one.
 const STATED_DURATION_FACTOR: f64 = 1.2;
 
 impl World {
--- a/crates/emulator/tests/control.rs
+++ b/crates/emulator/tests/control.rs
@@ -1,4 +1,4 @@
-//! The control traffic of a fleet over a network with faults: membership, bans and full snapshots of the configuration.
+//! Control traffic of a fleet on a network with faults: membership, bans, and full snapshots of the configuration.
 
 use reelfall_emulator::control::baseline::{
     ApplyTime, ConfigurationSize, FullSnapshots, SECONDS_PER_DAY,
@@ -15,7 +15,7 @@
 
 const BANNED_SERVER: &str = "server-1";
 
-/// The bandwidth of a node for its configuration, in bytes a second.
+/// The bandwidth of a node for its configuration, in bytes per second.
 const CONTROL_BANDWIDTH: f64 = 8_192.0;
 
 /// Nodes that all start within a second.
@@ -65,7 +65,7 @@
     network.run(30.0);
     assert!(all_know_peers(&network, 59));
     assert_eq!(dead_declarations(&network), 0);
-    // Each node selects its peers at random: none is the target of many at once.
+    // Each node selects its peers at random, so that none is the target of many at once.
     let usage = network.usage(0..60);
     let mean = 10.0 * (usage.bytes_in + usage.bytes_out);
     assert!((usage.long_window_max as f64) < 3.0 * mean, "{usage:?}");
@@ -83,7 +83,7 @@
     );
 }
 
-/// What a run with a ban yields.
+/// The result of a run with a ban.
 #[derive(Debug, PartialEq)]
 struct RunResult {
     ban_received_at: Vec<Option<f64>>,
@@ -213,7 +213,7 @@
 const SOURCE: u32 = 0;
 const RECEIVERS: Range<u32> = 1..4;
 
-/// A source of snapshots and three receivers, each with this bandwidth, in bytes a second.
+/// A source of snapshots and three receivers, each with this bandwidth, in bytes per second.
 fn snapshot_network(file_bytes: usize, bandwidth: f64) -> Network<SnapshotEndpoint> {
     let links = Links {
         overhead: 0,
--- a/crates/emulator/tests/distribution.rs
+++ b/crates/emulator/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! Distribution of configuration in a small emulated fleet with faults.
+//! Configuration distribution in a small emulated fleet with faults.
 
 use reelfall_distribution::upstream_config::UpstreamConfig;
 use reelfall_distribution::DRIFT;
@@ -14,23 +14,23 @@
 use reelfall_emulator::control::world::{links, Ages, ApplyTimes, World, LEASE_DURATION};
 use std::collections::BTreeSet;
 
-/// The longest time until a change is applied by all nodes, in seconds.
+/// The maximum time until a change is applied by all nodes, in seconds.
 const MAX_APPLY_TIME: f64 = 15.0;
 
-/// The longest time until a node that has started has all changes, in seconds.
+/// The maximum time until a restarted node has applied all changes, in seconds.
 const MAX_CATCH_UP_TIME: f64 = 30.0;
 
 /// The name of the lease of the settings.
 const LEASE_NAME: &str = "settings";
 
-/// A small fleet with routes and tenants as resources of their own.
+/// A small fleet with routes and tenants as separate resources.
 const SMALL_WITH_TENANTS: Sizes = Sizes {
     routes: 30,
     tenants: 400,
     ..Sizes::SMALL
 };
 
-/// A small fleet after the start of all its machines.
+/// A small fleet after all its machines have started.
 fn small_world(seed: u64) -> World {
     let mut world = World::new(Sizes::SMALL, links(), seed).expect("the sizes can be placed");
     let outcome = scenarios::start_all(&mut world);
@@ -38,7 +38,7 @@
     world
 }
 
-/// The same with routes and tenants as resources of their own.
+/// A small fleet with routes and tenants as separate resources, after all its machines have started.
 fn small_world_with_tenants(seed: u64) -> World {
     let mut world = World::new(SMALL_WITH_TENANTS, links(), seed).expect("the sizes can be placed");
     let outcome = scenarios::start_all(&mut world);
@@ -107,7 +107,7 @@
     assert!(outcome.nodes.bytes_in > 0.0 && outcome.control.bytes_out > 0.0);
 }
 
-/// What a run with steady changes yields.
+/// The result of a run with steady changes.
 #[derive(Debug, PartialEq)]
 struct RunResult {
     apply_times: Option<Times>,
@@ -184,7 +184,7 @@
         outcome.violations,
         outcome.missing
     );
-    // Its relays can be in their longest backoff, and then its nodes in theirs.
+    // When the partition ends, the region's relays may be in their longest backoff, and then its nodes in theirs.
     let max_backoff = UpstreamConfig::relay(Vec::new()).max_backoff
         + UpstreamConfig::node(Vec::new()).max_backoff;
     assert!(
@@ -242,7 +242,7 @@
     let node = world.layout.nodes().start;
     world.network.freeze(node);
     for _ in 0..20 {
-        world.request_any_change();
+        world.request_random_change();
     }
     world.run(20.0);
     let publisher = world.publisher().expect("a publisher");
@@ -345,13 +345,13 @@
         .expect("the sizes can be placed");
     world.ages = Some(Ages::default());
     scenarios::start_all(&mut world);
-    // A clock that is five percent slow has to lose more than the age that a node reports without faults.
+    // A clock that is five percent slow has to lose more time than the staleness that a node reports without faults.
     let outcome = scenarios::region_partitioned(&mut world, 1, 1.0, 300.0);
     assert!(
         outcome
             .violations
             .iter()
-            .any(|violation| violation.to_string().contains("states an age")),
+            .any(|violation| violation.to_string().contains("reported a staleness")),
         "{:?}",
         outcome.ages
     );
@@ -372,11 +372,11 @@
     assert_eq!(restorer.node_of_all_services().resource_count(), 54);
 }
 
-/// After the loss of the publisher, its lease expires and another machine takes over, while relays are rejected once and
-/// attempt to connect to two failed publishers.
+/// After the loss of the publisher, its lease expires and another publisher takes over, while relays are rejected once and
+/// attempt to connect to two failed publishers. All of this must fit into the time for applying a change.
 #[test]
 fn lease_expiry_and_takeover_leave_time_to_apply_a_change() {
-    /// The round trips of a change from the publisher to the nodes, in seconds.
+    /// Time for the round trips of a change from the publisher to the nodes, in seconds.
     const ROUND_TRIPS: f64 = 1.0;
     let relay = UpstreamConfig::relay(Vec::new());
     let time_to_reconnect = relay.reconnect_jitter + 2.0 * relay.open_timeout + ROUND_TRIPS;
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of nodes with faults, in virtual time.
+//! Fleets of nodes with faults in virtual time.
 
 use proptest::prelude::{any, prop_assert, prop_oneof, Just, Strategy};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
@@ -6,7 +6,7 @@
 use reelfall_emulator::{run_plan, scenario, Report};
 use std::iter::Sum;
 
-/// The report of a plan that is run without violations.
+/// Runs a plan, and checks that no rule was violated.
 fn run_without_violations(plan: Plan) -> Report {
     let name = format!(
         "{} with {} nodes, seed {}",
@@ -24,7 +24,11 @@
 #[test]
 fn node_failures_zone_losses_and_server_replacements_violate_no_rule() {
     for nodes in [10, 100] {
-        for plan in [scenario::herd, scenario::zone, scenario::join] {
+        for plan in [
+            scenario::mass_kill,
+            scenario::zone_loss,
+            scenario::server_replacement,
+        ] {
             let report = run_without_violations(scenario::with_faulty_servers(plan(nodes, 5), 0.1));
             assert!(
                 report.sum(|second| second.attempts) > 1000 && report.earned_fraction() > 0.4,
@@ -35,7 +39,7 @@
     }
 }
 
-/// What the nodes of a fleet do within a second.
+/// Totals of a fleet within a second.
 #[derive(Debug, PartialEq)]
 struct SecondTotals {
     attempts: u32,
@@ -46,7 +50,7 @@
 fn run_zone_loss(seed: u64) -> Vec<SecondTotals> {
     let report = run_without_violations(Plan {
         duration: 6.0,
-        ..scenario::with_faulty_servers(scenario::zone(20, seed), 0.2)
+        ..scenario::with_faulty_servers(scenario::zone_loss(20, seed), 0.2)
     });
     report
         .seconds
@@ -89,7 +93,7 @@
             run_without_violations(Plan {
                 is_subsetting_disabled,
                 duration: 12.0,
-                ..scenario::with_faulty_servers(scenario::calm(100, seed), 0.15)
+                ..scenario::with_faulty_servers(scenario::undisturbed(100, seed), 0.15)
             })
         })
         .sum()
@@ -112,7 +116,7 @@
 
 #[test]
 fn idle_nodes_serve_their_requests_when_traffic_returns() {
-    let mut plan = scenario::calm(40, 2);
+    let mut plan = scenario::undisturbed(40, 2);
     plan.duration = 16.0;
     plan.disturb(
         2.0,
@@ -121,7 +125,7 @@
             duration: 8.0,
         },
     );
-    // Half of the nodes get all of the traffic, for the same servers.
+    // Half of the nodes receive all of the traffic, for the same servers.
     assert!(run_without_violations(plan).earned_fraction() > 0.85);
 }
 
@@ -131,7 +135,7 @@
         let plan = Plan {
             servers,
             duration: 5.0,
-            ..scenario::calm(nodes, 1)
+            ..scenario::undisturbed(nodes, 1)
         };
         assert!(
             run_without_violations(plan).sum(|second| second.attempts) > 50,
@@ -140,7 +144,7 @@
     }
     assert!(run_plan(Plan {
         nodes: 0,
-        ..scenario::calm(1, 1)
+        ..scenario::undisturbed(1, 1)
     })
     .is_err());
 }
@@ -148,14 +152,14 @@
 #[test]
 fn nodes_that_start_with_a_stale_list_stop_sending_to_removed_servers() {
     const PROPAGATION_SECONDS: usize = 3;
-    let mut plan = scenario::calm(100, 4);
+    let mut plan = scenario::undisturbed(100, 4);
     plan.disturb(0.0, Disturbance::EndServers { fraction: 0.3 });
     let report = run_without_violations(Plan {
         load: 0.4,
         duration: 10.0,
         ..plan
     });
-    // The removal of the servers reaches all nodes within some seconds; after that they get no requests.
+    // The removal of the servers reaches all nodes within some seconds; afterwards the servers receive no requests.
     let (first, later) = report.seconds.split_at(PROPAGATION_SECONDS);
     assert!(first.iter().any(|second| second.to_unresponsive > 0));
     assert!(later.iter().all(|second| second.to_unresponsive == 0));
@@ -169,7 +173,7 @@
 #[test]
 fn loss_of_a_zone_during_slow_start_of_the_other_overloads_no_server() {
     for seed in 1..4 {
-        let mut plan = scenario::calm(40, seed);
+        let mut plan = scenario::undisturbed(40, seed);
         plan.disturb(
             2.0,
             Disturbance::LoseZone {
@@ -195,7 +199,7 @@
 
 #[test]
 fn node_with_ten_times_the_traffic_is_served_equally_well() {
-    let even_plan = scenario::calm(50, 3);
+    let even_plan = scenario::undisturbed(50, 3);
     let uneven_plan = Plan {
         first_node_weight: 10.0,
         ..even_plan.clone()
@@ -212,7 +216,7 @@
 
 #[test]
 fn flapping_endpoint_list_overloads_no_server() {
-    let mut plan = scenario::calm(50, 6);
+    let mut plan = scenario::undisturbed(50, 6);
     plan.disturb(
         4.0,
         Disturbance::FlapEntries {
@@ -263,7 +267,7 @@
 fn random_schedules_violate_no_rule_and_keep_the_retry_budget() {
     const RETRY_BUDGET_RATIO: f64 = 0.2;
     const MAX_SAVED_RETRIES: f64 = 10.0;
-    /// The incarnations of a node, on average over the nodes.
+    /// Maximum number of incarnations of a node, on average over the nodes.
     const MAX_INCARNATIONS: f64 = 3.0;
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(
@@ -284,7 +288,7 @@
             disturbances,
             load,
             duration: 9.0,
-            ..scenario::calm(nodes, seed)
+            ..scenario::undisturbed(nodes, seed)
         };
         let report = run_plan(plan).map_err(|error| TestCaseError::fail(error.to_string()))?;
         prop_assert!(
@@ -292,7 +296,7 @@
             "{}",
             report.violations.list[0]
         );
-        // A fifth of the attempts of clients, and what each incarnation of a node can have saved.
+        // Retries are a fifth of the client attempts, plus those that each incarnation of a node may have saved up.
         let client_attempts = f64::from(report.sum(|second| second.client_attempts));
         let retries = f64::from(report.sum(|second| second.retries));
         let saved_retries = MAX_SAVED_RETRIES * nodes as f64 * MAX_INCARNATIONS;
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Runs are those of commit c58caac, to the last bit: every command of every node in the trials, and every datagram between
-//! nodes that know each other. The files in `golden/` have a line for each run.
+//! Golden tests: every command of every node in the trials, and every datagram between cluster members, are identical to
+//! those of commit c58caac. The files in `golden/` have the digest of one run on each line.
 
 use reelfall_emulator::cluster::{default_config, Cluster};
 use reelfall_emulator::run_plan;
@@ -9,8 +9,10 @@
 const DATAGRAMS: &str = include_str!("golden/datagrams.blake3");
 
 #[test]
-fn nodes_give_the_commands_that_they_gave() {
-    let trials = Trial::ALL.into_iter().chain([Trial::Herd, Trial::Join]);
+fn commands_of_trials_match_the_golden_digests() {
+    let trials = Trial::ALL
+        .into_iter()
+        .chain([Trial::MassKill, Trial::ServerReplacement]);
     let digest = |(seed, trial): (u64, Trial)| {
         let report = run_plan(trial.plan(24, seed)).unwrap();
         format!("{} {seed} {}", trial.name(), report.commands.hex())
@@ -20,7 +22,7 @@
 }
 
 #[test]
-fn nodes_that_know_each_other_send_the_datagrams_that_they_sent() {
+fn datagrams_of_clusters_match_the_golden_digests() {
     let digest = |seed: u64| {
         let mut cluster = Cluster::new(9, seed, |_| default_config());
         cluster.digest = Some(blake3::Hasher::new());
--- a/crates/emulator/tests/inspect.rs
+++ b/crates/emulator/tests/inspect.rs
@@ -1,54 +1,58 @@
-//! What datagrams of a fleet contain is told from the datagrams themselves.
+//! Statistics of the contents of a cluster's datagrams.
 
 use reelfall_emulator::cluster::{default_config, secret, Cluster};
 use reelfall_emulator::inspect::{DatagramStats, Inspector};
 
-/// A fleet whose nodes know each other, with an inspector from its beginning on.
-fn gathered(nodes: usize) -> Cluster {
+/// A cluster whose nodes have discovered each other, and an inspector of all datagrams since the start.
+fn converged_cluster(nodes: usize) -> Cluster {
     let mut cluster = Cluster::new(nodes, 1, |_| default_config());
     cluster.inspector = Some(Inspector::new(secret()));
     cluster.run_until(60.0, Cluster::is_converged);
     cluster
 }
 
-fn seen(cluster: &Cluster) -> DatagramStats {
-    cluster.inspector.as_ref().expect("it was put in").stats
+fn stats(cluster: &Cluster) -> DatagramStats {
+    cluster
+        .inspector
+        .as_ref()
+        .expect("the cluster has an inspector")
+        .stats
 }
 
 #[test]
 fn all_datagrams_are_counted_with_their_bytes() {
-    let cluster = gathered(8);
-    let seen = seen(&cluster);
+    let cluster = converged_cluster(8);
+    let stats = stats(&cluster);
     assert_eq!(
-        (seen.datagrams, seen.bytes),
+        (stats.datagrams, stats.bytes),
         (cluster.datagrams_sent, cluster.bytes_sent)
     );
-    assert!(seen.swim_bytes > 0 && seen.swim_bytes < seen.bytes);
+    assert!(stats.swim_bytes > 0 && stats.swim_bytes < stats.bytes);
 }
 
 #[test]
-fn news_of_joins_are_seen_to_end_and_a_ban_to_be_told() {
-    let mut cluster = gathered(8);
-    let joining = seen(&cluster);
-    let joined = cluster.now;
+fn join_updates_end_and_a_ban_is_counted_as_entries() {
+    let mut cluster = converged_cluster(8);
+    let joining = stats(&cluster);
+    let joined_at = cluster.now;
     cluster.run(60.0);
-    let before = seen(&cluster);
+    let before = stats(&cluster);
     cluster.run(20.0);
-    let quiet = seen(&cluster).since(&before);
-    assert_eq!(quiet.entries, 0);
-    let each = |contents: DatagramStats| contents.swim_bytes as f64 / contents.datagrams as f64;
+    let at_rest = stats(&cluster).since(&before);
+    assert_eq!(at_rest.entries, 0);
+    let mean_size = |stats: DatagramStats| stats.swim_bytes as f64 / stats.datagrams as f64;
     assert!(
-        each(quiet) < each(joining),
-        "{quiet:?} {joining:?} after {joined} s"
+        mean_size(at_rest) < mean_size(joining),
+        "{at_rest:?} {joining:?} after {joined_at} s"
     );
     cluster.with_node(0, |fleet, now| fleet.ban(now, "server-1", "ada", None));
-    let before = seen(&cluster);
+    let before = stats(&cluster);
     cluster.run(5.0);
-    assert!(seen(&cluster).since(&before).entries > 0);
+    assert!(stats(&cluster).since(&before).entries > 0);
 }
 
 #[test]
-fn a_datagram_of_another_key_is_counted_by_its_length_alone() {
+fn only_the_size_of_a_datagram_of_another_key_is_counted() {
     let mut inspector = Inspector::new(secret());
     inspector.add(&[7; 100]);
     assert_eq!(
--- a/crates/emulator/tests/network/accounts.rs
+++ b/crates/emulator/tests/network/accounts.rs
@@ -37,7 +37,7 @@
         ),
         (50.0, 0.5, 100)
     );
-    // One call each, of one step of the clock, in 2 s.
+    // Within 2 s, each had one call that took one step of the clock.
     assert_eq!((sender.cpu, receiver.cpu), (0.125, 0.125));
     network.reset_accounts();
     network.run(1.0);
--- a/crates/emulator/tests/network/main.rs
+++ b/crates/emulator/tests/network/main.rs
@@ -1,4 +1,4 @@
-//! The network between endpoints, in virtual time.
+//! The network between endpoints in virtual time.
 
 mod accounts;
 mod delivery;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Links of one fixed delay without loss.
+/// Links with the same fixed delay and without loss.
 fn uniform_links(delay: f64) -> Links {
     let link = Link {
         min_delay: delay,
--- a/crates/emulator/tests/network/timers.rs
+++ b/crates/emulator/tests/network/timers.rs
@@ -25,7 +25,7 @@
     network.with(0, |recorder, now, _| recorder.next_poll = now + 1.0);
     network.run(2.0);
     assert_eq!(running(&network, 0).polls, 1);
-    // Due again at 102 s, and no longer at 100 s.
+    // The timer is now due at 102 s instead of 100 s.
     network.run(98.5);
     assert_eq!(running(&network, 0).polls, 1);
     network.run(1.0);
--- a/crates/emulator/tests/scale_report.rs
+++ b/crates/emulator/tests/scale_report.rs
@@ -1,4 +1,4 @@
-//! Reports of scale runs: how they are read, and how runs are added to them.
+//! Reports of scale runs: their JSON format, and how runs are appended.
 
 use reelfall_emulator::control::account::Usage;
 use reelfall_emulator::control::report::{
@@ -35,7 +35,7 @@
         requests: None,
         read_bytes: None,
         played: Some(Played {
-            title: "a play".to_owned(),
+            title: "a scenario".to_owned(),
             judged_by: JudgedBy::CaughtUp,
             caught_up: Some(TIMES),
             peak_bytes_10s: 4_000.0,
@@ -68,23 +68,23 @@
 }
 
 #[test]
-fn a_report_is_read_as_it_was_written() {
+fn report_survives_a_json_round_trip() {
     let written = report(vec![run("a run", 6)]);
     let text = serde_json::to_string_pretty(&written).unwrap();
     assert_eq!(serde_json::from_str::<Report>(&text).unwrap(), written);
 }
 
-/// Gives an object's field another name.
+/// Renames a field of a JSON object.
 fn rename(object: &mut Value, field: &str) {
     let fields = object.as_object_mut().unwrap();
     let value = fields.remove(field).unwrap();
-    fields.insert(format!("{field}_of_old"), value);
+    fields.insert(format!("{field}_renamed"), value);
 }
 
 #[test]
-fn a_report_with_a_field_of_another_name_is_refused() {
+fn report_with_a_renamed_field_is_rejected() {
     let written = serde_json::to_value(report(vec![run("a run", 6)])).unwrap();
-    // Those that may be left out are the ones that would be lost without a word.
+    // Optional fields are included: without the check for unknown fields, they would be dropped silently.
     for path in [
         "",
         "/played",
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_run_takes_the_place_of_an_earlier_one_of_its_name_and_size() {
+fn run_replaces_an_earlier_one_with_the_same_name_and_size() {
     let mut report = report(vec![run("one", 6), run("two", 6)]);
     let later = Run {
         seconds: 5.0,
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_a_node_uses_is_told_by_its_usage() {
+fn per_node_figures_are_those_of_the_usage() {
     let per_node = run("a run", 6).per_node;
     let traffic = Traffic {
         kind: "configuration".to_owned(),
--- a/crates/emulator/tests/server.rs
+++ b/crates/emulator/tests/server.rs
@@ -1,11 +1,11 @@
-//! A server that stands still every so often.
+//! Completion times of work at a server that pauses periodically.
 
 use reelfall_balancer::interface::{Endpoint, ServerState};
 use reelfall_emulator::plan::ServerBehavior;
 use reelfall_emulator::server::Server;
 
-fn pausing(hash: u64) -> Server {
-    let entry = Endpoint {
+fn pausing_server(hash: u64) -> Server {
+    let endpoint = Endpoint {
         server: 0,
         hash,
         zone: 0,
@@ -16,7 +16,7 @@
         started_at: 0.0,
         local_balancers: 1,
     };
-    let mut server = Server::new(entry, 1.0, 10);
+    let mut server = Server::new(endpoint, 1.0, 10);
     server.behavior = ServerBehavior::Pausing {
         interval: 1.0,
         duration: 0.1,
@@ -25,29 +25,29 @@
 }
 
 #[test]
-fn work_waits_through_pauses_and_through_no_more_than_come() {
-    let server = pausing(0);
-    let close = |a: f64, b: f64| assert!((a - b).abs() < 1e-9, "{a} {b}");
-    // It begins in the middle of a pause, outside one, and right before one.
-    close(server.completion_time(0.05, 0.2), 0.3);
-    close(server.completion_time(0.5, 0.2), 0.7);
-    close(server.completion_time(0.95, 0.2), 1.25);
-    // Nine tenths of each second are left for long work.
-    close(server.completion_time(0.5, 9.4), 0.5 + 9.4 + 1.0);
+fn work_is_delayed_by_exactly_the_pauses_that_it_overlaps() {
+    let server = pausing_server(0);
+    let assert_close = |a: f64, b: f64| assert!((a - b).abs() < 1e-9, "{a} {b}");
+    // The work begins in the middle of a pause, between pauses, and right before a pause.
+    assert_close(server.completion_time(0.05, 0.2), 0.3);
+    assert_close(server.completion_time(0.5, 0.2), 0.7);
+    assert_close(server.completion_time(0.95, 0.2), 1.25);
+    // Long work progresses in nine tenths of each second.
+    assert_close(server.completion_time(0.5, 9.4), 0.5 + 9.4 + 1.0);
 }
 
 #[test]
-fn every_moment_and_length_ends_in_the_end_and_in_order() {
+fn completion_times_are_bounded_and_do_not_decrease_with_the_start() {
     for hash in [0, 1, 250, 999] {
-        let server = pausing(hash);
-        let mut before = 0.0;
+        let server = pausing_server(hash);
+        let mut previous = 0.0;
         for n in 0..20_000 {
             let now = f64::from(n) * 0.001;
             let done = server.completion_time(now, 0.03);
             assert!(
-                done >= before - 1e-9 && done >= now + 0.03 - 1e-9 && done <= now + 0.13 + 1e-9
+                done >= previous - 1e-9 && done >= now + 0.03 - 1e-9 && done <= now + 0.13 + 1e-9
             );
-            before = done;
+            previous = done;
         }
     }
 }
