--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -41,7 +41,7 @@
 "#;
 
 fn model() -> Result<Model> {
-    Ok(reader::toml(SETTINGS_NAME, SETTINGS)?)
+    Ok(reader::parse_toml(SETTINGS_NAME, SETTINGS)?)
 }
 
 /// The memory of a plan with so many routes.
@@ -68,7 +68,7 @@
     Located {
         value: Route {
             host: HostPattern::Exact(host.into()),
-            path: format!("/v1/resource-{number}").into(),
+            path_prefix: format!("/v1/resource-{number}").into(),
             ..template.value.clone()
         },
         origin: template.origin.clone(),
--- a/crates/node/src/net/pool/list.rs
+++ b/crates/node/src/net/pool/list.rs
@@ -266,7 +266,7 @@
         };
         endpoint.local_balancers *= self.shared.process_count();
         let ban = self.shared.ban_status(name, endpoint.started_at);
-        endpoint.started_at = ban.ready_at;
+        endpoint.started_at = ban.started_at;
         if ban.is_banned && endpoint.state == ServerState::Up {
             endpoint.state = ServerState::Draining;
         }
@@ -278,7 +278,7 @@
         let view = self
             .shared
             .combined_view(self.id, *address, own, self.slow_start_duration);
-        endpoint.local_balancers = view.pools;
+        endpoint.local_balancers = view.pool_count;
         endpoint.started_at = view.started_at;
         let mut withheld_until = self.withheld_until.borrow_mut();
         match view.withheld_until {
