--- a/crates/emulator/examples/scale/holdings.rs
+++ b/crates/emulator/examples/scale/holdings.rs
@@ -33,8 +33,7 @@
         tenants,
         ..Sizes::TARGET
     })?;
-    // Memory is measured as the growth of the process. All machines are retained and the smallest is measured first, so that
-    // no measurement reuses freed memory.
+    // Memory is measured as the growth of the process, so all machines are retained, in ascending order of size.
     let mut retained = Vec::new();
     let mut runs = Vec::new();
     for held in &arguments.held {
