--- a/crates/registry-client/tests/follow/entries.rs
+++ b/crates/registry-client/tests/follow/entries.rs
@@ -1,16 +1,16 @@
-//! Which entries count: validity, owner and limit.
+//! Which entries are accepted: validity, owner and maximum number.
 
 use crate::fake_registry::{payload, WatchDelivery, OWNER_SESSION};
 use crate::fixture::{Fixture, ListedServer};
 use bytes::Bytes;
 use reelfall_registry_client::entry::EntryError;
-use reelfall_registry_client::follow::{Identity, Limits, Report};
+use reelfall_registry_client::follow::{FollowerConfig, Identity, Report};
 use reelfall_registry_client::wire::Acl;
 
 /// The owner of an entry that belongs to no session.
 const NO_SESSION: i64 = 0;
 
-/// The owner of an entry with a time to live of 5 seconds: the first byte marks it.
+/// The owner of an entry with a time to live of 5 seconds, which the most significant byte marks.
 const TTL_OWNER: i64 = (0xff << 56) | 5000;
 
 const ALL_PERMISSIONS: i32 = 31;
@@ -18,7 +18,7 @@
 
 #[test]
 fn invalid_entries_are_reported_once() {
-    let mut fixture = Fixture::connected(Limits::default());
+    let mut fixture = Fixture::connected(FollowerConfig::default());
     fixture
         .registry
         .put("by-hand", payload(1), NO_SESSION, WatchDelivery::Delivered);
@@ -43,7 +43,7 @@
         "{reports:?}"
     );
     assert_eq!(reports.len(), 2, "{reports:?}");
-    // All entries are read again, and not reported again.
+    // The periodic read of all entries does not report them again.
     fixture.tick_and_settle(31.0);
     assert_eq!(fixture.follower.next_report(), None);
     // An entry with a time to live belongs to no session either.
@@ -53,9 +53,9 @@
     fixture.settle(32.0);
     assert_eq!(fixture.listed_servers().len(), 1);
 
-    let mut accepting = Fixture::connected(Limits {
+    let mut accepting = Fixture::connected(FollowerConfig {
         accepts_persistent: true,
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     accepting
         .registry
@@ -66,12 +66,12 @@
 
 #[test]
 fn entries_of_other_owners_are_ignored() {
-    let mut fixture = Fixture::connected(Limits {
+    let mut fixture = Fixture::connected(FollowerConfig {
         owner: Some(Identity {
             scheme: "digest".to_owned(),
             id: "ops:hash".to_owned(),
         }),
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     let acl = |id: &str, permissions| Acl {
         permissions,
@@ -80,7 +80,7 @@
     };
     let acls_by_server = [
         vec![acl("ops:hash", ALL_PERMISSIONS), Acl::read_only()],
-        // The registry hides the hash from clients without the right to change the entry.
+        // The registry hides the hash from clients without the permission to change the entry.
         vec![acl("ops:x", ALL_PERMISSIONS)],
         vec![Acl::open()],
         vec![
@@ -107,9 +107,9 @@
 #[test]
 fn entries_beyond_the_limit_are_ignored() {
     const MAX_ENTRIES: usize = 10;
-    let mut fixture = Fixture::connected(Limits {
+    let mut fixture = Fixture::connected(FollowerConfig {
         max_entries: MAX_ENTRIES,
-        ..Limits::default()
+        ..FollowerConfig::default()
     });
     for port in 1..=50 {
         fixture.registry.put_server(&format!("s{port:02}"), port);
@@ -126,7 +126,7 @@
         fixture.follower.next_report(),
         Some(Report::TooManyEntries(MAX_ENTRIES))
     );
-    // After a removal another entry takes the place, once all are read again.
+    // After a removal, another entry is accepted once all are read again.
     fixture.registry.remove("s01", WatchDelivery::Delivered);
     fixture.settle(2.0);
     fixture.tick_and_settle(40.0);
