--- a/crates/registry-client/src/registration.rs
+++ b/crates/registry-client/src/registration.rs
@@ -5,7 +5,7 @@
 //! | idle | when registration is requested and the session is connected: reading |
 //! | reading | no entry: creating; an entry of this session: registered; of an earlier run of this node: removing stale; of another owner: waiting |
 //! | creating | created, or an entry exists: reading |
-//! | removing stale | removed: creating; otherwise: reading |
+//! | removing stale | removed: creating; changed since it was read: reading |
 //! | registered | removed by another client: reading |
 //! | waiting | the other owner's entry is removed, or [`RETRY_INTERVAL`] has passed: reading |
 //! | deregistering | removed: idle |
--- a/crates/registry-client/src/wire/fields.rs
+++ b/crates/registry-client/src/wire/fields.rs
@@ -140,17 +140,17 @@
 
     /// Appends a string, prefixed by its length in bytes.
     #[must_use]
-    pub fn string(self, text: &str) -> Self {
-        self.buffer(text.as_bytes())
+    pub fn string(self, value: &str) -> Self {
+        self.buffer(value.as_bytes())
     }
 
     /// Appends a list of strings, prefixed by their number.
     #[must_use]
-    pub fn strings(self, texts: &[String]) -> Self {
-        let counted = self.int(i32::try_from(texts.len()).unwrap_or(i32::MAX));
-        texts
+    pub fn strings(self, values: &[String]) -> Self {
+        let counted = self.int(i32::try_from(values.len()).unwrap_or(i32::MAX));
+        values
             .iter()
-            .fold(counted, |writer, text| writer.string(text))
+            .fold(counted, |writer, value| writer.string(value))
     }
 
     /// Completes the frame and returns it, prefixed by its length.
