--- a/crates/testbed/src/commands/soak.rs
+++ b/crates/testbed/src/commands/soak.rs
@@ -1,11 +1,11 @@
-//! The command `soak`: many drawn days, each judged by what clients and servers saw.
+//! The command `soak`: randomized runs, each checked by what clients and servers observed.
 
 use reelfall_testbed::node::Program;
+use reelfall_testbed::soak::checker::CheckResult;
 use reelfall_testbed::soak::endings;
-use reelfall_testbed::soak::fleet_day::{self, FleetPlan};
-use reelfall_testbed::soak::judge::Judgement;
+use reelfall_testbed::soak::fleet_run::{self, FleetPlan};
 use reelfall_testbed::soak::plan::EndingsPlan;
-use reelfall_testbed::soak::report::{findings, is_red, list, Totals, TABLE_HEAD};
+use reelfall_testbed::soak::report::{findings, has_failed, list, Totals, TABLE_HEAD};
 use reelfall_testbed::soak::stalls::StallMeter;
 use reelfall_testbed::soak::upgrade_plan::UpgradePlan;
 use reelfall_testbed::soak::upgrades;
@@ -16,39 +16,40 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// Longest time of a day; one takes a third of it.
-const DAY_TIMEOUT: Duration = Duration::from_secs(120);
+/// Longest time of a run. A usual run takes a third of it.
+const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Drawn days, each judged by what clients and servers saw. A red day is printed with its command and its findings.
+/// Randomized runs, each checked by what clients and servers observed. A failed run is printed with its findings and the
+/// command that repeats it.
 #[derive(clap::Args)]
 pub struct SoakArgs {
-    /// Number of days
+    /// Number of runs, each with a seed of its own
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// The first seed
+    /// Seed of the first run
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// One day alone
+    /// Run this seed alone
     #[arg(long)]
     seed: Option<u64>,
-    /// Its whole history on the standard output
+    /// Print the whole history of the run
     #[arg(long, requires = "seed")]
     trace: bool,
-    /// What the days consist of
+    /// Kind of the runs
     #[arg(long, value_enum, default_value_t = Kind::Endings)]
     only: Kind,
-    /// Days that are played at once
+    /// Number of concurrent runs
     #[arg(long, default_value_t = 2)]
     parallel: usize,
-    /// Where to write the histories of red days
+    /// Where to write the histories of runs with findings
     #[arg(long, default_value = "found", value_name = "FOLDER")]
     histories: PathBuf,
 }
 
-/// What days consist of.
+/// Kind of the runs.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 enum Kind {
-    /// A node that is told to end
+    /// A node under load that is shut down
     Endings,
     /// A fleet with a server that pauses
     Fleet,
@@ -66,42 +67,47 @@
     }
 }
 
-/// A day that was played.
-struct Day {
+/// A completed run.
+struct CompletedRun {
     seed: u64,
-    judgement: Judgement,
+    check_result: CheckResult,
     signals: usize,
     history: String,
 }
 
-async fn play(program: &Program, kind: Kind, seed: u64, meter: &StallMeter) -> Result<Day> {
+async fn run_seed(
+    program: &Program,
+    kind: Kind,
+    seed: u64,
+    meter: &StallMeter,
+) -> Result<CompletedRun> {
     match kind {
         Kind::Endings => {
-            let plan = EndingsPlan::draw(seed);
-            let outcome = endings::play(program, &plan, None, meter).await?;
-            Ok(Day {
+            let plan = EndingsPlan::from_seed(seed);
+            let outcome = endings::run(program, &plan, None, meter).await?;
+            Ok(CompletedRun {
                 seed,
-                judgement: outcome.judgement,
+                check_result: outcome.check_result,
                 signals: plan.signals.len(),
                 history: format!("{plan:?}\n{}\n{}", outcome.record.to_text(), outcome.log),
             })
         }
         Kind::Fleet => {
-            let plan = FleetPlan::draw(seed);
-            let outcome = fleet_day::play(program, &plan, false, meter).await?;
-            Ok(Day {
+            let plan = FleetPlan::from_seed(seed);
+            let outcome = fleet_run::run(program, &plan, false, meter).await?;
+            Ok(CompletedRun {
                 seed,
-                judgement: outcome.judgement,
+                check_result: outcome.check_result,
                 signals: 0,
                 history: format!("{plan:?}\n{}", outcome.history.to_text()),
             })
         }
         Kind::Upgrade => {
-            let plan = UpgradePlan::draw(seed);
-            let outcome = upgrades::play(program, &plan, meter).await?;
-            Ok(Day {
+            let plan = UpgradePlan::from_seed(seed);
+            let outcome = upgrades::run(program, &plan, meter).await?;
+            Ok(CompletedRun {
                 seed,
-                judgement: outcome.judgement,
+                check_result: outcome.check_result,
                 signals: plan.steps.len(),
                 history: format!("{plan:?}\n{}\n{}", outcome.record.to_text(), outcome.log),
             })
@@ -109,7 +115,7 @@
     }
 }
 
-/// Plays the days; returns whether none is red.
+/// Executes the runs and prints their results; returns whether none has failed.
 pub async fn run(program: &Program, args: SoakArgs) -> Result<bool> {
     let meter = Arc::new(StallMeter::start(&std::env::current_exe()?)?);
     let seeds = match args.seed {
@@ -117,64 +123,65 @@
         None => args.from..args.from + args.seeds,
     };
     let kind = args.only;
-    let places = Arc::new(Semaphore::new(args.parallel.max(1)));
-    let mut days = JoinSet::new();
+    let permits = Arc::new(Semaphore::new(args.parallel.max(1)));
+    let mut runs = JoinSet::new();
     for seed in seeds {
-        let (program, meter, places) = (program.clone(), meter.clone(), places.clone());
-        days.spawn(async move {
-            let _place = places.acquire().await;
-            let day = play(&program, kind, seed, &meter);
-            let played = tokio::time::timeout(DAY_TIMEOUT, day).await;
-            let played = played.unwrap_or_else(|_| Err("it does not end".into()));
-            (seed, played)
+        let (program, meter, permits) = (program.clone(), meter.clone(), permits.clone());
+        runs.spawn(async move {
+            let _permit = permits.acquire().await;
+            let run = run_seed(&program, kind, seed, &meter);
+            let outcome = tokio::time::timeout(RUN_TIMEOUT, run).await;
+            let outcome = outcome.unwrap_or_else(|_| Err("it timed out".into()));
+            (seed, outcome)
         });
     }
     let mut totals = Totals::default();
-    while let Some(day) = days.join_next().await {
-        let (seed, played) = day?;
-        match played {
-            Ok(day) => {
-                report(&day, &args)?;
-                totals.add(&day.judgement, day.signals);
+    while let Some(run) = runs.join_next().await {
+        let (seed, outcome) = run?;
+        match outcome {
+            Ok(run) => {
+                report(&run, &args)?;
+                totals.add(&run.check_result, run.signals);
             }
             Err(error) => {
-                println!("{} {seed}: not played, {error}", kind.name());
-                totals.add_unplayed();
+                println!("{} {seed}: not completed, {error}", kind.name());
+                totals.add_incomplete();
             }
         }
     }
     println!("{TABLE_HEAD}\n{}", totals.row(kind.name()));
     println!("answers other than 200: {}", totals.reasons());
-    Ok(totals.red == 0)
+    Ok(totals.failed == 0)
 }
 
-/// Prints a line for a day; for a red one also the command that plays it again, its findings, and where its history is.
-fn report(day: &Day, args: &SoakArgs) -> Result<()> {
-    let (seed, judgement, kind) = (day.seed, &day.judgement, args.only.name());
-    let state = if is_red(judgement) {
+/// Prints a line for a run. For one with findings, also writes its history to a file, and prints the findings, the file and
+/// the command that repeats the run.
+fn report(run: &CompletedRun, args: &SoakArgs) -> Result<()> {
+    let (seed, check_result, kind) = (run.seed, &run.check_result, args.only.name());
+    let state = if has_failed(check_result) {
         "red"
-    } else if judgement.findings.is_empty() {
+    } else if check_result.findings.is_empty() {
         "green"
     } else {
         "disturbed"
     };
     println!(
-        "{kind} {seed}: {state}, {} requests ({}), {} attempts at servers, crossed: {}",
-        judgement.load.requests,
-        list(&judgement.load.statuses),
-        judgement.load.attempts,
-        list(&judgement.crossed)
+        "{kind} {seed}: {state}, {} requests ({}), {} attempts at servers, close races: {}",
+        check_result.load.requests,
+        list(&check_result.load.statuses),
+        check_result.load.attempts,
+        list(&check_result.close_races)
     );
     if args.trace {
-        println!("{}", day.history);
+        println!("{}", run.history);
     }
-    if judgement.findings.is_empty() {
+    if check_result.findings.is_empty() {
         return Ok(());
     }
     std::fs::create_dir_all(&args.histories)?;
     let file = args.histories.join(format!("{kind}-{seed}.txt"));
-    std::fs::write(&file, &day.history)?;
-    print!("{}", findings(&judgement.findings));
+    std::fs::write(&file, &run.history)?;
+    print!("{}", findings(&check_result.findings));
     println!(
         "    reelfall-testbed soak --only {kind} --seed {seed} --trace; history in {}",
         file.display()
--- a/crates/testbed/src/soak/judge.rs
+++ b/crates/testbed/src/soak/checker.rs
@@ -1,64 +1,65 @@
-//! The findings of a day of endings, by what clients and servers saw alone. Bounds are those of the pages.
+//! Checks a run of kind `endings` or `upgrade` by what clients and servers observed alone. The time limits are those of the
+//! documentation.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `request` | the end of one request |
-//! | [`load`] | whether the load reached the servers, and was served |
+//! | `request` | checks of a single request |
+//! | [`load`] | whether the load reached the servers and was served |
 
 pub mod load;
 mod request;
 
 use self::load::LoadSummary;
-use self::request::{judge_request, DayConditions, DayContext, Verdict};
+use self::request::{check_request, RequestOutcome, RunConditions, RunContext};
 use super::plan::{EndingsPlan, ServerFault};
 use super::process::DRAIN_GRACE;
 use super::record::{Record, RequestEnd, RequestRecord, ServerEvent, ServerRecord};
 use super::stalls::Stall;
 use super::upgrade_plan::UpgradePlan;
-use super::upgrades::SeenUpgrades;
+use super::upgrades::ObservedUpgrades;
 use std::collections::{BTreeMap, HashSet};
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt may begin so long after its client has closed the connection.
+/// An attempt may start up to this time after its client has closed the connection.
 const ABORT_DETECTION_TIME: Duration = Duration::from_millis(100);
-/// The rules allow this much more time on sockets.
+/// Additional time for events to pass through sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// A rule of the pages.
+/// A guarantee of the documentation that runs are checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// The load was served before the trouble began: the day tells nothing otherwise.
+    /// The load was served before the faults started; otherwise the run shows nothing.
     LoadServed,
-    /// Each request that was taken has its final answer.
+    /// Each accepted request gets its final answer.
     Answered,
-    /// No connection ends behind a request that it had time to read.
+    /// No connection is closed after a request that the node had time to read, without an answer.
     NotClosedUnanswered,
-    /// It has it in time.
+    /// Each answer arrives by the deadline of its request, with some slack.
     AnsweredInTime,
     /// A request with time left is not answered as timed out.
     NotTimedOutEarly,
-    /// The answer is the one that was made for it.
+    /// Each request gets its own answer and not that of another request.
     OwnAnswer,
-    /// A request that a server has processed in time has the server's answer.
+    /// A request that a healthy server processed in time gets that server's answer.
     ServersAnswer,
-    /// No request is answered as invalid: none is.
+    /// No request is answered as invalid: the clients send valid ones only.
     ValidRequest,
-    /// No effect happens twice where the class forbids it.
+    /// No request of an at-most-once class is executed twice.
     NoSecondEffect,
-    /// A request that was refused, and must have its effect at most once, had none.
+    /// No at-most-once request that was refused is executed.
     NoEffectOfRefused,
-    /// Nothing new goes to a draining server past the grace.
+    /// A draining server gets no new attempts after the drain grace.
     NothingToDraining,
-    /// Nothing new is sent for a client that has left.
+    /// No new attempt is sent for a client that has disconnected.
     NothingForLeft,
-    /// The process ends in time.
+    /// The process exits in time after SIGTERM.
     Ends,
     /// The process does not crash.
     NoCrash,
-    /// A server that responds again is used again.
+    /// Each node sends attempts to a server that responds again.
     UsedAgain,
-    /// A server that is silent is ejected by all nodes in time.
+    /// All nodes eject a silent server in time.
     Ejected,
     /// A server that responds is not ejected.
     NotEjected,
@@ -67,17 +68,17 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// From when on a delay of the machine may have caused it.
+    /// Start of the time in which a stall of the machine may have caused the violation.
     pub from: Duration,
-    /// When it was seen.
+    /// Time of the violation.
     pub at: Duration,
-    /// By how much a time was exceeded; `None` if no delay of the machine explains the finding.
+    /// By how much a time limit was exceeded; `None` if a stall of the machine can't explain the finding.
     pub overrun: Option<Duration>,
-    /// What was seen.
+    /// Description of the violation.
     pub text: String,
-    /// The delays of the machine in that time, if they are as long as the overrun.
+    /// Total length of the stalls between `from` and `at`, if they are as long as the overrun and so explain the finding.
     pub disturbed_for: Option<Duration>,
 }
 
@@ -88,23 +89,23 @@
         match self.disturbed_for {
             Some(length) => write!(
                 formatter,
-                " (disturbed, the machine stood still for {length:?} in all)"
+                " (disturbed, the machine stalled for {length:?} in total)"
             ),
             None => Ok(()),
         }
     }
 }
 
-/// The end of the process.
+/// The shutdown of a process, as observed from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessEnd {
-    /// When the trouble began, right before the signals.
-    pub trouble_at: Duration,
+    /// When the faults started, right before the signals.
+    pub faults_started_at: Duration,
     /// When the first SIGTERM was sent.
     pub terminated_at: Duration,
-    /// When the process had ended; `None` if it had not at the time of SIGKILL.
+    /// When the process exited; `None` if it was still running at the time of SIGKILL.
     pub exited_at: Option<Duration>,
-    /// Whether it ended with a failure, or by a signal other than SIGTERM.
+    /// Whether it exited with a failure status or was terminated by a signal other than SIGTERM.
     pub has_crashed: bool,
     /// When SIGKILL was sent, or would have been.
     pub killed_at: Duration,
@@ -112,112 +113,118 @@
     pub drain_announced_at: Option<Duration>,
 }
 
-/// What came of a day.
+/// The result of checking a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Judgement {
+pub struct CheckResult {
     /// Violations of rules.
     pub findings: Vec<Finding>,
-    /// What became of the load.
+    /// Summary of the load.
     pub load: LoadSummary,
-    /// Requests that crossed the end of their connection, by how.
-    pub crossed: BTreeMap<Crossing, usize>,
+    /// Number of requests that raced with the close of their connection, by kind of close.
+    pub close_races: BTreeMap<CloseRace, usize>,
 }
 
-/// How a request crossed the end of its connection: all but the last had no effect, and their clients can repeat them.
+/// How the connection of a request was closed before the node had read the request. Except for `Killed`, the request had
+/// no effect, and its client can retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Crossing {
-    /// Behind an answer that announced the end.
+pub enum CloseRace {
+    /// After an answer that announced the close.
     Announced,
-    /// Right before an end that was not announced, as of an idle connection.
+    /// Without announcement, right after the request was written, as an idle connection is.
     Unannounced,
-    /// On a new connection that was shut unread, in a crowd.
+    /// Before the node read anything from it, while clients exhaust the node's connections.
     Unread,
-    /// With a process that was killed.
+    /// By a kill of the process.
     Killed,
 }
 
-impl fmt::Display for Crossing {
+impl fmt::Display for CloseRace {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Crossing::Announced => "announced",
-            Crossing::Unannounced => "unannounced",
-            Crossing::Unread => "unread",
-            Crossing::Killed => "killed",
+            CloseRace::Announced => "announced",
+            CloseRace::Unannounced => "unannounced",
+            CloseRace::Unread => "unread",
+            CloseRace::Killed => "killed",
         })
     }
 }
 
-/// Judges a day of endings.
-pub fn judge(plan: &EndingsPlan, record: &Record, end: &ProcessEnd, stalls: &[Stall]) -> Judgement {
+/// Checks a run of kind `endings`.
+pub fn check(
+    plan: &EndingsPlan,
+    record: &Record,
+    end: &ProcessEnd,
+    stalls: &[Stall],
+) -> CheckResult {
     let (requests, events) = (record.requests(), record.server_events());
-    let day = DayConditions {
+    let conditions = RunConditions {
         deadline: plan.deadline,
-        has_crowd: plan.has_crowd,
+        exhausts_connections: plan.exhausts_connections,
         servers: &plan.servers,
         terminated_at: Some(end.terminated_at),
         killed_at: &[],
     };
-    let mut judgement = judge_requests(day, &requests, &events);
-    let findings = &mut judgement.findings;
+    let mut check_result = check_requests(conditions, &requests, &events);
+    let findings = &mut check_result.findings;
     findings.extend(load::unserved_load(plan, end, &requests));
     let drain = end.drain_announced_at.map(|announced_at| Drain {
         announced_at,
         lifted_at: Duration::MAX,
     });
     findings.extend(attempts_at_draining(drain.as_slice(), &events));
-    findings.extend(late_exit(end));
+    findings.extend(exit_violation(end));
     mark_disturbed(findings, stalls);
-    judgement
+    check_result
 }
 
-/// Judges a day of upgrades.
-pub fn judge_upgrades(
+/// Checks a run of kind `upgrade`.
+pub fn check_upgrades(
     plan: &UpgradePlan,
     record: &Record,
-    seen: &SeenUpgrades,
+    observed: &ObservedUpgrades,
     stalls: &[Stall],
-) -> Judgement {
+) -> CheckResult {
     let (requests, events) = (record.requests(), record.server_events());
-    let day = DayConditions {
+    let conditions = RunConditions {
         deadline: plan.deadline,
-        has_crowd: false,
+        exhausts_connections: false,
         servers: &plan.servers,
         terminated_at: None,
-        killed_at: &seen.killed_at,
+        killed_at: &observed.killed_at,
     };
-    let mut judgement = judge_requests(day, &requests, &events);
-    let findings = &mut judgement.findings;
+    let mut check_result = check_requests(conditions, &requests, &events);
+    let findings = &mut check_result.findings;
     findings.extend(load::unserved_requests(
         &requests,
         Duration::ZERO,
         record.now(),
     ));
-    findings.extend(attempts_at_draining(&seen.drains, &events));
-    findings.extend(seen.ends.iter().filter_map(late_exit));
+    findings.extend(attempts_at_draining(&observed.drains, &events));
+    findings.extend(observed.ends.iter().filter_map(exit_violation));
     mark_disturbed(findings, stalls);
-    judgement
+    check_result
 }
 
-/// What the judgement of all requests comes to, whatever kind of day it is.
-fn judge_requests(
-    day: DayConditions,
+/// Checks all requests and events at servers, by the rules that both kinds of runs have in common.
+fn check_requests(
+    conditions: RunConditions,
     requests: &[RequestRecord],
     events: &[ServerRecord],
-) -> Judgement {
-    let context = DayContext::new(day, requests, events);
-    let mut judgement = Judgement {
+) -> CheckResult {
+    let context = RunContext::new(conditions, requests, events);
+    let mut check_result = CheckResult {
         load: LoadSummary::of_record(requests, events),
-        ..Judgement::default()
+        ..CheckResult::default()
     };
     for request in requests {
-        match judge_request(&context, request) {
-            Verdict::Fine => {}
-            Verdict::Crossed(how) => *judgement.crossed.entry(how).or_default() += 1,
-            Verdict::Violates {
+        match check_request(&context, request) {
+            RequestOutcome::Valid => {}
+            RequestOutcome::Raced(how) => *check_result.close_races.entry(how).or_default() += 1,
+            RequestOutcome::Violation {
                 rule,
                 overrun,
                 text,
-            } => judgement.findings.push(Finding {
+            } => check_result.findings.push(Finding {
                 rule,
                 from: request.written_at,
                 at: request.ended_at,
@@ -227,14 +234,16 @@
             }),
         }
     }
-    judgement.findings.extend(effects(requests, events));
-    judgement
+    check_result
         .findings
-        .extend(attempts_for_left_clients(requests, &context));
-    judgement
+        .extend(forbidden_effects(requests, events));
+    check_result
+        .findings
+        .extend(attempts_for_disconnected_clients(requests, &context));
+    check_result
 }
 
-/// Notes the findings that are explained by delays of the machine.
+/// Marks the findings that stalls of the machine explain.
 pub fn mark_disturbed(findings: &mut [Finding], stalls: &[Stall]) {
     for finding in findings {
         let delay: Duration = stalls
@@ -246,8 +255,8 @@
     }
 }
 
-/// Effects that a request must not have had: a second one, or one although it was refused.
-fn effects(requests: &[RequestRecord], events: &[ServerRecord]) -> Vec<Finding> {
+/// Finds forbidden effects of at-most-once requests: a second execution, or one of a refused request.
+fn forbidden_effects(requests: &[RequestRecord], events: &[ServerRecord]) -> Vec<Finding> {
     let at_most_once = requests.iter().filter(|request| request.at_most_once);
     let refused: HashSet<&str> = at_most_once
         .clone()
@@ -263,9 +272,9 @@
         let id = event.id.as_str();
         let is_second = !executed.insert(id) && at_most_once.contains(id);
         let (rule, text) = if is_second {
-            (Rule::NoSecondEffect, "had its effect again")
+            (Rule::NoSecondEffect, "was executed a second time")
         } else if refused.contains(id) {
-            (Rule::NoEffectOfRefused, "was refused, and had its effect")
+            (Rule::NoEffectOfRefused, "was refused, but executed")
         } else {
             return None;
         };
@@ -274,23 +283,26 @@
             from: event.at,
             at: event.at,
             overrun: None,
-            text: format!("{id} {text}, at server {}", event.server),
+            text: format!("{id} {text}, by server {}", event.server),
             disturbed_for: None,
         })
     });
     violations.collect()
 }
 
-fn attempts_for_left_clients(requests: &[RequestRecord], context: &DayContext) -> Vec<Finding> {
-    let left = requests
+fn attempts_for_disconnected_clients(
+    requests: &[RequestRecord],
+    context: &RunContext,
+) -> Vec<Finding> {
+    let disconnected = requests
         .iter()
-        .filter(|request| request.end == RequestEnd::ClientLeft);
-    let late = left.flat_map(|request| {
+        .filter(|request| request.end == RequestEnd::ClientDisconnected);
+    let late = disconnected.flat_map(|request| {
         let allowed_until = request.ended_at + ABORT_DETECTION_TIME;
         context
             .events_of(request, ServerEvent::Received)
             .filter(move |attempt| attempt.at > allowed_until)
-            // The path to such a server delays requests as well.
+            // The slow path to such a server delays requests, too.
             .filter(|attempt| context.fault_of(attempt.server) != Some(ServerFault::SlowPath))
             .map(move |attempt| Finding {
                 rule: Rule::NothingForLeft,
@@ -298,7 +310,7 @@
                 at: attempt.at,
                 overrun: Some(attempt.at - allowed_until),
                 text: format!(
-                    "{} reached server {} {:?} after its client had left",
+                    "{} reached server {} {:?} after its client had disconnected",
                     request.id,
                     attempt.server,
                     attempt.at - request.ended_at
@@ -309,12 +321,12 @@
     late.collect()
 }
 
-/// The time in which the first server drains, as discovery has announced it.
+/// A drain of the first server, as discovery announced it.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     /// When it was announced.
     pub announced_at: Duration,
-    /// When it was announced to be over.
+    /// When its end was announced; [`Duration::MAX`] if it was not.
     pub lifted_at: Duration,
 }
 
@@ -334,7 +346,7 @@
             at: event.at,
             overrun: Some(event.at - allowed_until),
             text: format!(
-                "{} was sent {:?} after the announcement",
+                "{} was sent to the draining server {:?} after the announcement",
                 event.id,
                 event.at - drain.announced_at
             ),
@@ -344,14 +356,14 @@
     late.collect()
 }
 
-fn late_exit(end: &ProcessEnd) -> Option<Finding> {
+fn exit_violation(end: &ProcessEnd) -> Option<Finding> {
     let (rule, text) = if end.has_crashed {
-        (Rule::NoCrash, "the process has crashed".to_owned())
+        (Rule::NoCrash, "the process crashed".to_owned())
     } else if end.exited_at.is_none() {
         let after = end.killed_at - end.terminated_at;
         (
             Rule::Ends,
-            format!("the process runs {after:?} after SIGTERM"),
+            format!("the process is still running {after:?} after SIGTERM"),
         )
     } else {
         return None;
--- a/crates/testbed/src/soak/judge/load.rs
+++ b/crates/testbed/src/soak/checker/load.rs
@@ -1,4 +1,4 @@
-//! What became of the load of a day. A day whose load was not served has shown nothing, however few findings it has.
+//! The outcome of the load of a run. A run whose load was not served shows nothing, even if it has no other findings.
 
 use super::{Finding, ProcessEnd, Rule};
 use crate::fleet::history::{Event, TimedEvent};
@@ -7,25 +7,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// While servers and discovery are well, at least this share of the answers is 200.
+/// While servers and discovery are healthy, at least this share of the answers has status 200.
 pub const MIN_SERVED_RATIO: f64 = 0.9;
 const OK: u16 = 200;
 
-/// What became of the requests of a day.
+/// Counts of the requests of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSummary {
     /// Number of requests.
     pub requests: usize,
-    /// Requests by the status of their answer.
+    /// Number of answers by status.
     pub statuses: BTreeMap<u16, usize>,
-    /// Answers other than 200, by their text.
+    /// Number of answers other than 200, by their text.
     pub reasons: BTreeMap<String, usize>,
-    /// Attempts that reached servers.
+    /// Number of attempts that reached servers.
     pub attempts: usize,
 }
 
 impl LoadSummary {
-    /// The load that clients and servers have recorded.
+    /// Summarizes the load that clients and servers recorded.
     pub(super) fn of_record(requests: &[RequestRecord], events: &[ServerRecord]) -> LoadSummary {
         let received = |event: &&ServerRecord| event.event == ServerEvent::Received;
         let mut summary = LoadSummary {
@@ -44,7 +44,7 @@
         summary
     }
 
-    /// The load of a day of a fleet.
+    /// Summarizes the load of a fleet run.
     pub fn of_fleet(events: &[TimedEvent]) -> LoadSummary {
         let mut summary = LoadSummary::default();
         for entry in events {
@@ -61,7 +61,7 @@
         summary
     }
 
-    /// Adds another day.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &LoadSummary) {
         self.requests += other.requests;
         self.attempts += other.attempts;
@@ -74,7 +74,7 @@
     }
 }
 
-/// The finding of a load that was not served although nothing stood in its way.
+/// Returns a finding if less than [`MIN_SERVED_RATIO`] of the answers were 200 in a time without faults.
 pub fn unserved(answers: usize, served: usize, from: Duration, at: Duration) -> Option<Finding> {
     let is_served = served > 0 && served as f64 >= MIN_SERVED_RATIO * answers as f64;
     (!is_served).then(|| Finding {
@@ -82,13 +82,12 @@
         from,
         at,
         overrun: None,
-        text: format!("{served} of {answers} answers were 200 although nothing stood in the way"),
+        text: format!("{served} of {answers} answers were 200 in a time without faults"),
         disturbed_for: None,
     })
 }
 
-/// The same for each kind of request of a day of endings. Where the signals come right after the start, no load comes
-/// before them.
+/// Checks the load before the faults of a run of kind `endings`. If the signals come right after the start, there is none.
 pub(super) fn unserved_load(
     plan: &EndingsPlan,
     end: &ProcessEnd,
@@ -97,10 +96,10 @@
     if !matches!(plan.signal_time, SignalTime::UnderLoad(_)) {
         return Vec::new();
     }
-    unserved_requests(requests, Duration::ZERO, end.trouble_at)
+    unserved_requests(requests, Duration::ZERO, end.faults_started_at)
 }
 
-/// The same for the requests that ended between two times.
+/// Checks the requests that ended between two times: the at-most-once ones and the others separately.
 pub(super) fn unserved_requests(
     requests: &[RequestRecord],
     from: Duration,
--- a/crates/testbed/src/soak/client.rs
+++ b/crates/testbed/src/soak/client.rs
@@ -1,7 +1,7 @@
-//! The clients of a day of endings: they use each open connection until it ends. Started by `endings`.
+//! Clients of the runs `endings` and `upgrade`. They use each open connection until it ends.
 
 use super::exchange::{Connection, ReadResponse, RequestText};
-use super::plan::{ClientKind, NodeForm};
+use super::plan::{ClientKind, ConfigSource};
 use super::record::{Record, RequestEnd, RequestRecord};
 use crate::SeededRng;
 use std::net::SocketAddr;
@@ -14,47 +14,47 @@
 
 /// Pause before another attempt to connect.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How much longer than the deadline a client waits, so that a late answer is seen as late.
+/// How much longer than the deadline a client waits, so that a late answer is recorded as late and not as missing.
 const ANSWER_MARGIN: Duration = Duration::from_secs(2);
-/// Pauses between two requests of a quick client, in milliseconds.
+/// Shortest and longest pause between two requests of a quick client, in milliseconds.
 const QUICK_PAUSE_MS: (u64, u64) = (5, 25);
-/// Rests of a client that rests, in milliseconds.
-const REST_MS: (u64, u64) = (100, 1200);
-/// Pauses between two pieces of a request, in milliseconds.
+/// Shortest and longest idle time between two requests of an idling client, in milliseconds.
+const IDLE_MS: (u64, u64) = (100, 1200);
+/// Shortest and longest pause between two pieces of a request, in milliseconds.
 const PIECE_PAUSE_MS: (u64, u64) = (10, 60);
-/// Pauses in the middle of a body, in milliseconds.
+/// Shortest and longest pause in the middle of a body, in milliseconds.
 const BODY_PAUSE_MS: (u64, u64) = (100, 500);
-/// How long a client that leaves stays after its request, in milliseconds.
-const STAY_MS: (u64, u64) = (2, 30);
-/// Requests that are written at once.
+/// Shortest and longest time from a request to the disconnect of a disconnecting client, in milliseconds.
+const DISCONNECT_DELAY_MS: (u64, u64) = (2, 30);
+/// Number of requests that a pipelining client writes at once.
 const PIPELINED_REQUESTS: usize = 3;
-/// Length of the bodies that clients pause in, in bytes.
+/// Length of the bodies of clients that pause in the middle of a body, in bytes.
 const PAUSED_BODY_BYTES: usize = 4000;
-/// Share of the other requests that must have their effect at most once.
+/// Share of the requests without a body that must be executed at most once.
 const AT_MOST_ONCE_RATIO: f64 = 0.3;
 
 /// What clients may still do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadPhase {
-    /// Connect, and use their connections.
+    /// Open connections, and send requests on them.
     Connecting,
-    /// Use the connections that they have.
+    /// Send requests on their open connections, without opening new ones.
     KeepingConnections,
-    /// Nothing.
-    Over,
+    /// Send nothing more.
+    Stopped,
 }
 
-/// What the clients of a day share.
+/// What the clients of a run share.
 pub struct ClientContext {
-    /// Where they connect.
+    /// The address that they connect to.
     pub address: SocketAddr,
     /// How the node is configured.
-    pub form: NodeForm,
+    pub config_source: ConfigSource,
     /// The deadline of their requests.
     pub deadline: Duration,
-    /// Where they write down what they see.
+    /// Where they record their requests.
     pub record: Arc<Record>,
-    /// What they may do.
+    /// What they may do at present.
     pub phase: watch::Receiver<LoadPhase>,
 }
 
@@ -63,11 +63,11 @@
         *self.phase.borrow()
     }
 
-    /// Returns at the end of the day.
-    async fn over(&self) {
+    /// Returns when the clients have to stop.
+    async fn stopped(&self) {
         let mut phase = self.phase.clone();
-        // An error says that nobody can end the day any more, which is an end as well.
-        let _ = phase.wait_for(|phase| *phase == LoadPhase::Over).await;
+        // An error means that the sender was dropped, which ends the run as well.
+        let _ = phase.wait_for(|phase| *phase == LoadPhase::Stopped).await;
     }
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Client {
-    /// A client with a name of its own, which the ids of its requests begin with.
+    /// Creates a client. The ids of its requests begin with `name`, which no other client may have.
     pub fn new(context: Arc<ClientContext>, kind: ClientKind, name: String, seed: u64) -> Client {
         Client {
             context,
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Connects and sends requests until its connection has ended and it may not connect again.
+    /// Connects and sends requests until the connection has ended and the phase permits no new one.
     pub async fn run(mut self) {
         while self.context.phase() == LoadPhase::Connecting {
             match TcpStream::connect(self.context.address).await {
                 Ok(stream) => {
                     self.connections += 1;
                     let mut connection = Connection::new(stream);
-                    while self.context.phase() != LoadPhase::Over
+                    while self.context.phase() != LoadPhase::Stopped
                         && self.step(&mut connection).await
                     {}
                 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Does what a client of this kind does once. Returns whether the connection can be used again.
+    /// Runs one exchange of this kind of client. Returns whether the connection can be used again.
     async fn step(&mut self, connection: &mut Connection) -> bool {
         match self.kind {
             ClientKind::Quick => {
@@ -127,8 +127,8 @@
                 self.pause(QUICK_PAUSE_MS).await;
                 is_usable
             }
-            ClientKind::Resting => {
-                self.exchange(connection, 1).await && self.rest(connection).await
+            ClientKind::Idling => {
+                self.exchange(connection, 1).await && self.stay_idle(connection).await
             }
             ClientKind::SlowWriter => {
                 let text = self.next_request(None);
@@ -149,7 +149,7 @@
                 self.pause(QUICK_PAUSE_MS).await;
                 is_usable
             }
-            ClientKind::Leaving => self.send_and_leave(connection).await,
+            ClientKind::Disconnecting => self.send_and_disconnect(connection).await,
         }
     }
 
@@ -158,28 +158,29 @@
         sleep(Duration::from_millis(pause)).await;
     }
 
-    /// Rests, with an eye on the connection half of the time; the next request may cross its end otherwise.
-    async fn rest(&mut self, connection: &mut Connection) -> bool {
-        let is_watching = self.random.next_fraction() < 0.5;
-        let rest = self.pause(REST_MS);
-        if !is_watching {
-            rest.await;
+    /// Idles between two requests; returns whether the connection is still usable. Half of the times the client detects that
+    /// the node closes the connection meanwhile; otherwise its next request may race with that close.
+    async fn stay_idle(&mut self, connection: &mut Connection) -> bool {
+        let detects_close = self.random.next_fraction() < 0.5;
+        let idle = self.pause(IDLE_MS);
+        if !detects_close {
+            idle.await;
             return true;
         }
         tokio::select! {
-            () = rest => true,
+            () = idle => true,
             () = connection.closed() => false,
         }
     }
 
-    /// The next request; with a body of this length, it must have its effect at most once.
+    /// Creates the next request. One with a body must be executed at most once.
     fn next_request(&mut self, body_length: Option<usize>) -> RequestText {
         let id = format!("{}-{}", self.name, self.sequence);
         self.sequence += 1;
         let at_most_once =
             body_length.is_some() || self.random.next_fraction() < AT_MOST_ONCE_RATIO;
         RequestText::new(
-            self.context.form,
+            self.context.config_source,
             id,
             at_most_once,
             body_length.unwrap_or(0),
@@ -187,7 +188,7 @@
         )
     }
 
-    /// Writes requests at once and reads their responses.
+    /// Writes `count` requests at once and reads their responses. Returns whether the connection can be used again.
     async fn exchange(&mut self, connection: &mut Connection, count: usize) -> bool {
         let texts: Vec<RequestText> = (0..count).map(|_| self.next_request(None)).collect();
         let bytes: Vec<u8> = texts.iter().flat_map(|text| text.bytes.clone()).collect();
@@ -198,7 +199,7 @@
         self.read_responses(connection, written).await
     }
 
-    /// Writes a request in two pieces and reads its response.
+    /// Writes a request in two pieces and reads its response. Returns whether the connection can be used again.
     async fn exchange_in_pieces(
         &mut self,
         connection: &mut Connection,
@@ -218,15 +219,18 @@
         self.read_responses(connection, written).await
     }
 
-    async fn send_and_leave(&mut self, connection: &mut Connection) -> bool {
+    async fn send_and_disconnect(&mut self, connection: &mut Connection) -> bool {
         let text = self.next_request(None);
         if !connection.write(&text.bytes).await {
             return false;
         }
         let written = self.written(&text);
-        self.pause(STAY_MS).await;
+        self.pause(DISCONNECT_DELAY_MS).await;
         connection.close().await;
-        self.add(written, ReadEnd::without_answer(RequestEnd::ClientLeft));
+        self.add(
+            written,
+            ReadEnd::without_answer(RequestEnd::ClientDisconnected),
+        );
         false
     }
 
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Reads the responses to requests that were written. Returns whether the connection can be used again.
+    /// Reads the responses to written requests. Returns whether the connection can be used again.
     async fn read_responses(
         &mut self,
         connection: &mut Connection,
@@ -316,7 +320,7 @@
     }
 }
 
-/// Starts a client of each of these kinds.
+/// Starts one client for each entry of `kinds`.
 pub fn spawn_clients(context: &Arc<ClientContext>, kinds: &[ClientKind], seed: u64) -> JoinSet<()> {
     let mut clients = JoinSet::new();
     for (index, kind) in kinds.iter().enumerate() {
@@ -327,15 +331,15 @@
     clients
 }
 
-/// One idle client of a crowd: it connects, sends nothing, and connects again once the node ends that.
-pub async fn idle(context: Arc<ClientContext>) {
+/// Holds one idle connection to the node, and opens another when the node closes it.
+pub async fn hold_idle_connection(context: Arc<ClientContext>) {
     while context.phase() == LoadPhase::Connecting {
         if let Ok(stream) = TcpStream::connect(context.address).await {
             let mut connection = Connection::new(stream);
-            // A client that sends nothing does not learn that a full backlog has dropped its connection.
+            // A client that sends nothing does not notice that a full backlog dropped its connection.
             tokio::select! {
                 () = connection.closed() => {}
-                () = context.over() => {}
+                () = context.stopped() => {}
             }
         }
         sleep(CONNECT_RETRY_INTERVAL).await;
--- a/crates/testbed/src/soak/ejections.rs
+++ b/crates/testbed/src/soak/ejections.rs
@@ -1,10 +1,9 @@
-//! The judgement of ejections on a day of a fleet: a silent server is ejected in time, and none that responds.
+//! Checks of the ejections in a fleet run: a silent server is ejected in time, and a server that responds is not ejected.
 //!
-//! Whether a node has ejected the silent server is asked at its management address, as an operator would: its log may drop
-//! lines.
+//! Whether a node has ejected the silent server is read from its management address, since the node may drop log lines.
 
-use super::fleet_day::FleetPlan;
-use super::judge::{Finding, Rule};
+use super::checker::{Finding, Rule};
+use super::fleet_run::FleetPlan;
 use crate::client::Client;
 use crate::fleet::history::{Event, History, TimedEvent};
 use crate::fleet::invariants::PROPAGATION_TIME;
@@ -17,64 +16,68 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a node logs when it ejects a server, behind the name of the server.
+/// Text that follows the server's name in the log line of an ejection.
 const EJECTED: &str = "is ejected, a quorum";
-/// What a node answers about a server that it has ejected.
+/// Text in a node's answer about a server that it has ejected.
 const EXPLAINED_AS_EJECTED: &str = "fails several nodes";
-/// Pause between two questions to a node.
-const WATCH_INTERVAL: Duration = Duration::from_millis(50);
-/// A response is late from this time on: the latency objective of the services of a fleet.
+/// Pause between two polls of a node.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A response that takes longer is late: the latency objective of the services of a fleet.
 const LATE_AFTER: Duration = crate::fleet::LATENCY_OBJECTIVE;
-/// Reports from before a server responded again may still eject it for this time.
+/// For this time after a server responds again, earlier reports may still eject it.
 const OLD_REPORTS_TIME: Duration = PROPAGATION_TIME;
 
-/// Asks each node again and again whether it has ejected a server, until it is dropped.
-pub(super) struct EjectionWatch {
+/// Polls each node for whether it has ejected a server, until it is dropped.
+pub(super) struct EjectionPoller {
     nodes: Vec<usize>,
-    answers: Arc<Mutex<Vec<WatchAnswer>>>,
+    answers: Arc<Mutex<Vec<PollAnswer>>>,
     _tasks: Vec<AbortOnDrop>,
 }
 
-/// What a node has answered.
+/// The answer of a node to one poll.
 #[derive(Clone, Copy, Debug)]
-struct WatchAnswer {
+struct PollAnswer {
     node: usize,
     at: Duration,
     is_ejected: bool,
 }
 
-impl EjectionWatch {
-    pub(super) fn start(fleet: &TestFleet, server: usize, history: &Arc<History>) -> EjectionWatch {
-        let answers: Arc<Mutex<Vec<WatchAnswer>>> = Arc::default();
+impl EjectionPoller {
+    pub(super) fn start(
+        fleet: &TestFleet,
+        server: usize,
+        history: &Arc<History>,
+    ) -> EjectionPoller {
+        let answers: Arc<Mutex<Vec<PollAnswer>>> = Arc::default();
         let nodes = fleet.running_nodes();
-        let watch = |node: &usize| {
+        let poll = |node: &usize| {
             let client = Client::new(fleet.management(*node)?);
             let path = format!("/-/fleet/servers/{}", server_name(server));
             let (node, history, answers) = (*node, history.clone(), answers.clone());
             Some(crate::spawn(async move {
                 loop {
-                    if let Some(is_ejected) = ask(&client, &path).await {
+                    if let Some(is_ejected) = query_ejection(&client, &path).await {
                         let at = history.now();
                         let mut answers = answers.lock().unwrap_or_else(PoisonError::into_inner);
-                        answers.push(WatchAnswer {
+                        answers.push(PollAnswer {
                             node,
                             at,
                             is_ejected,
                         });
                     }
-                    tokio::time::sleep(WATCH_INTERVAL).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }))
         };
-        let tasks = nodes.iter().filter_map(watch).collect();
-        EjectionWatch {
+        let tasks = nodes.iter().filter_map(poll).collect();
+        EjectionPoller {
             nodes,
             answers,
             _tasks: tasks,
         }
     }
 
-    /// The last answer of a node between two times by which it had not ejected the server, and whether it answered at all.
+    /// The time of the node's last answer in `from..to` according to which it had not ejected the server.
     fn last_admission(&self, node: usize, from: Duration, to: Duration) -> LastAdmission {
         let answers = self.answers.lock().unwrap_or_else(PoisonError::into_inner);
         let of_node = answers
@@ -89,18 +92,18 @@
     }
 }
 
-/// When a node was last seen not to have ejected the server.
+/// When a node last answered that it had not ejected the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LastAdmission {
     At(Duration),
-    /// It had ejected it all the time.
+    /// According to all its answers the server was ejected.
     None,
-    /// It has not answered.
+    /// It did not answer.
     Unknown,
 }
 
-/// Whether a node has ejected the server; `None` if it does not say.
-async fn ask(client: &Client, path: &str) -> Option<bool> {
+/// Asks a node whether it has ejected the server; `None` without a successful response.
+async fn query_ejection(client: &Client, path: &str) -> Option<bool> {
     let request = Request::builder()
         .uri(path)
         .header("host", "node")
@@ -113,22 +116,22 @@
         .then(|| body.contains(EXPLAINED_AS_EJECTED))
 }
 
-/// When the server paused, and when it responded again.
+/// The time in which the server was paused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pause {
     pub(super) from: Duration,
     pub(super) to: Duration,
 }
 
-/// All findings about ejections from the pause on.
-pub(super) fn judge(
+/// Returns all findings about ejections since the start of the pause.
+pub(super) fn check(
     plan: &FleetPlan,
     events: &[TimedEvent],
-    watch: &EjectionWatch,
+    poller: &EjectionPoller,
     pause: Pause,
 ) -> Vec<Finding> {
-    let mut findings = late_ejections(plan, events, watch, pause);
-    findings.extend(ejections_of_responding(plan, events, pause));
+    let mut findings = late_ejections(plan, events, poller, pause);
+    findings.extend(ejections_of_responding_servers(plan, events, pause));
     findings
 }
 
@@ -153,18 +156,19 @@
     })
 }
 
-/// How many nodes have to report a silent server, at most: the quorum, and more than may report that it is healthy.
-fn needed_witnesses(reporting_nodes: usize) -> usize {
+/// Number of reporters that is always enough for an ejection: the minimum of the quorum, and a majority of the nodes, so
+/// that fewer nodes can report the server as healthy.
+fn required_reporters(reporting_nodes: usize) -> usize {
     Quorum::default().min_reporters.max(reporting_nodes / 2 + 1)
 }
 
-/// When the last of the needed nodes sent its first attempt to the paused server; `None` if that did not happen.
+/// When enough nodes for a quorum had sent an attempt to the paused server; `None` if that did not happen.
 fn quorum_at(plan: &FleetPlan, events: &[TimedEvent], pause: Pause) -> Option<Duration> {
     let first_attempt = |nodes: &[usize]| {
         let attempts = queries::attempts(events, plan.paused_server, pause.from, pause.to, nodes);
         Some(attempts.first()?.at)
     };
-    // Of two nodes with one name only one reports: a report is certain once both have met the server.
+    // Only one of two nodes with the same name reports: a report is certain once both have sent an attempt to the server.
     let (conflicting, single) = plan.nodes_by_conflict();
     let mut reports: Vec<Option<Duration>> =
         single.iter().map(|node| first_attempt(&[*node])).collect();
@@ -176,10 +180,10 @@
         let last = both.iter().flatten().max().copied();
         reports.push(last.filter(|_| both.iter().all(Option::is_some)));
     }
-    let needed = needed_witnesses(reports.len());
+    let required = required_reporters(reports.len());
     let mut times: Vec<Duration> = reports.into_iter().flatten().collect();
     times.sort_unstable();
-    times.get(needed - 1).copied()
+    times.get(required - 1).copied()
 }
 
 /// When all servers but the paused one responded again.
@@ -190,23 +194,23 @@
 fn late_ejections(
     plan: &FleetPlan,
     events: &[TimedEvent],
-    watch: &EjectionWatch,
+    poller: &EjectionPoller,
     pause: Pause,
 ) -> Vec<Finding> {
     let Some(quorum_at) = quorum_at(plan, events, pause) else {
         return Vec::new();
     };
-    // While most servers are late, the reports on each are ignored.
+    // Reports are ignored while most servers are late.
     let due = (quorum_at + LATE_AFTER).max(common_pause_end(plan, pause)) + PROPAGATION_TIME;
-    if due + 3 * WATCH_INTERVAL > pause.to {
+    if due + 3 * POLL_INTERVAL > pause.to {
         return Vec::new();
     }
     let name = server_name(plan.paused_server);
     let late = |node: &usize| {
-        let last_admission = watch.last_admission(*node, due + WATCH_INTERVAL, pause.to);
+        let last_admission = poller.last_admission(*node, due + POLL_INTERVAL, pause.to);
         let (at, overrun) = match last_admission {
             LastAdmission::None => return None,
-            LastAdmission::At(at) if at + 2 * WATCH_INTERVAL < pause.to => (at, Some(at - due)),
+            LastAdmission::At(at) if at + 2 * POLL_INTERVAL < pause.to => (at, Some(at - due)),
             _ => (pause.to, None),
         };
         Some(Finding {
@@ -215,16 +219,20 @@
             at,
             overrun,
             text: format!(
-                "node {node} had not ejected {name}: {last_admission:?}; it was silent from {:?}, and known to enough nodes from {quorum_at:?}",
+                "node {node} had not ejected {name} (last seen admitted: {last_admission:?}); the server was silent from {:?}, and a quorum of nodes had sent it attempts by {quorum_at:?}",
                 pause.from
             ),
             disturbed_for: None,
         })
     };
-    watch.nodes.iter().filter_map(late).collect()
+    poller.nodes.iter().filter_map(late).collect()
 }
 
-fn ejections_of_responding(plan: &FleetPlan, events: &[TimedEvent], pause: Pause) -> Vec<Finding> {
+fn ejections_of_responding_servers(
+    plan: &FleetPlan,
+    events: &[TimedEvent],
+    pause: Pause,
+) -> Vec<Finding> {
     let name = server_name(plan.paused_server);
     let responds_from = |server: &str| {
         if server == name {
--- a/crates/testbed/src/soak/endings.rs
+++ b/crates/testbed/src/soak/endings.rs
@@ -1,11 +1,11 @@
-//! A day of endings: a node under load is told to end, in the middle of other trouble.
+//! Runs of kind `endings`: a node under load is shut down by SIGTERM while servers and discovery have faults.
 
-use super::client::{idle, spawn_clients, ClientContext, LoadPhase};
-use super::judge::{judge, Judgement, ProcessEnd};
-use super::plan::{DiscoveryFault, EndingsPlan, NodeForm, NodeSignal, ServerFault, SignalTime};
-use super::process::{has_crashed, NodeConfiguration, NodePlace, NodeProcess, KILL_MARGIN};
+use super::checker::{check, CheckResult, ProcessEnd};
+use super::client::{hold_idle_connection, spawn_clients, ClientContext, LoadPhase};
+use super::injected_violation::InjectedViolation;
+use super::plan::{ConfigSource, DiscoveryFault, EndingsPlan, NodeSignal, ServerFault, SignalTime};
+use super::process::{has_crashed, NodeConfiguration, NodeProcess, NodeWorkspace, KILL_MARGIN};
 use super::record::{Record, ServerEvent};
-use super::sabotage::Sabotage;
 use super::stalls::StallMeter;
 use crate::discovery::{Discovery, ListedServer, ServerStatus};
 use crate::link::Link;
@@ -20,67 +20,68 @@
 
 /// How long a server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(4);
-/// Requests that a server processes at a time.
+/// Number of requests that a server processes at the same time.
 const SERVER_WORKERS: usize = 8;
-/// Longest wait for an answer to a request of each kind, before a crowd comes.
+/// Longest wait for an answer to a request of each kind before the idle clients connect.
 const FIRST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Idle clients of a crowd.
-const CROWD: usize = 120;
-/// Rate of a slow path, in bytes per second.
+/// Number of idle clients that exhaust the node's connections.
+const IDLE_CLIENTS: usize = 120;
+/// Rate of the slow path to a server, in bytes per second.
 const SLOW_PATH_RATE: u64 = 2000;
-/// Share of requests whose connection is closed, before and after the effect each, by a server that does that.
+/// Share of requests whose connection a server closes before the effect, and of those whose connection it closes after
+/// the effect, while it has the fault [`ServerFault::ClosesConnections`].
 const CLOSED_RATIO: f64 = 0.2;
 
-/// What a day was played with, and what was seen.
+/// The outcome of a run.
 pub struct EndingsOutcome {
-    /// What clients and servers saw.
+    /// What clients and servers observed.
     pub record: Arc<Record>,
-    /// What came of it.
-    pub judgement: Judgement,
-    /// What the node has logged.
+    /// Findings and counts.
+    pub check_result: CheckResult,
+    /// The log of the node.
     pub log: String,
 }
 
-/// The stand-ins of a day.
-struct Surroundings {
+/// The stand-ins of a run, and the network paths between them and the node.
+struct StandIns {
     servers: Vec<Server>,
-    /// The paths to the servers, as far as they are open.
+    /// The paths to the servers; `None` for an unreachable one.
     server_links: Vec<Option<Link>>,
     discovery: Discovery,
     discovery_link: Option<Link>,
-    /// A path from the clients to the node that breaks a rule on purpose.
+    /// The path from the clients to the node, in runs with an injected violation.
     client_link: Option<Link>,
     listed: Vec<ListedServer>,
 }
 
-/// Plays a day and judges it.
+/// Executes a plan and checks the run.
 ///
 /// # Errors
 /// Fails if a stand-in or the node does not start.
-pub async fn play(
+pub async fn run(
     program: &Program,
     plan: &EndingsPlan,
-    sabotage: Option<Sabotage>,
+    violation: Option<InjectedViolation>,
     meter: &StallMeter,
 ) -> Result<EndingsOutcome> {
     let record = Arc::new(Record::start());
-    let place = NodePlace::reserve()?;
-    let mut surroundings = Surroundings::start(plan, &record, &place, sabotage).await?;
-    place.configure(&surroundings.configuration(plan))?;
-    let mut node = NodeProcess::start(program, &place, plan.form)?;
-    record.add_note("the node is started");
+    let workspace = NodeWorkspace::reserve()?;
+    let mut stand_ins = StandIns::start(plan, &record, &workspace, violation).await?;
+    workspace.configure(&stand_ins.configuration(plan))?;
+    let mut node = NodeProcess::start(program, &workspace, plan.config_source)?;
+    record.add_note("the node was started");
     if !matches!(plan.signal_time, SignalTime::AfterStart(_)) {
-        wait_for_health(place.address(), "/_health", true).await?;
+        wait_for_health(workspace.address(), "/_health", true).await?;
         record.add_note("the node is ready");
     }
     let (phase_sender, phase) = watch::channel(LoadPhase::Connecting);
-    let client_address = surroundings
+    let client_address = stand_ins
         .client_link
         .as_ref()
-        .map_or(place.address(), |link| link.address);
+        .map_or(workspace.address(), |link| link.address);
     let context = Arc::new(ClientContext {
         address: client_address,
-        form: plan.form,
+        config_source: plan.config_source,
         deadline: plan.deadline,
         record: record.clone(),
         phase,
@@ -93,44 +94,45 @@
             sleep(time).await;
         }
     }
-    let trouble_at = record.now();
-    let drain_announced_at = surroundings.begin_trouble(plan, &record);
+    let faults_started_at = record.now();
+    let drain_announced_at = stand_ins.start_faults(plan, &record);
     if plan.replaces_configuration {
-        place.configure(&surroundings.configuration(plan))?;
+        workspace.configure(&stand_ins.configuration(plan))?;
     }
-    surroundings.begin_sabotage(sabotage);
+    stand_ins.inject_violation(violation);
     let mut end = send_signals(plan, &mut node, &record, &phase_sender).await;
-    end.trouble_at = trouble_at;
+    end.faults_started_at = faults_started_at;
     end.drain_announced_at = drain_announced_at;
     await_end(&mut node, &record, &mut end).await;
-    phase_sender.send_replace(LoadPhase::Over);
-    drop(surroundings);
+    phase_sender.send_replace(LoadPhase::Stopped);
+    drop(stand_ins);
     while clients.join_next().await.is_some() {}
     let stalls = meter.stalls_since(record.started());
-    let judgement = judge(plan, &record, &end, &stalls);
+    let check_result = check(plan, &record, &end, &stalls);
     Ok(EndingsOutcome {
         record,
-        judgement,
-        log: place.log(),
+        check_result,
+        log: workspace.log(),
     })
 }
 
-/// Starts the clients, and the crowd behind them: it comes to a node in use, unless the signals come right after the start.
+/// Starts the clients, then the idle clients of a run that exhausts the node's connections. The idle clients connect once
+/// the node has answered requests, unless the signals come right after the start.
 async fn start_clients(plan: &EndingsPlan, context: &Arc<ClientContext>) -> JoinSet<()> {
     let mut clients = spawn_clients(context, &plan.clients, plan.seed);
-    if plan.has_crowd {
+    if plan.exhausts_connections {
         if matches!(plan.signal_time, SignalTime::UnderLoad(_)) {
-            // A day on which nothing is answered in this time is a finding.
+            // The check of the load reports a run without answers in this time.
             let _ = timeout(FIRST_ANSWERS_TIMEOUT, context.record.first_answers()).await;
         }
-        for _ in 0..CROWD {
-            clients.spawn(idle(context.clone()));
+        for _ in 0..IDLE_CLIENTS {
+            clients.spawn(hold_idle_connection(context.clone()));
         }
     }
     clients
 }
 
-/// Sends the series of signals. New connections end some time after the first SIGTERM.
+/// Sends the series of signals. Some time after the first SIGTERM clients open no more connections.
 async fn send_signals(
     plan: &EndingsPlan,
     node: &mut NodeProcess,
@@ -159,7 +161,7 @@
     }
     let terminated_at = terminated_at.unwrap_or_else(|| record.now());
     ProcessEnd {
-        trouble_at: terminated_at,
+        faults_started_at: terminated_at,
         terminated_at,
         exited_at: None,
         has_crashed: false,
@@ -168,14 +170,14 @@
     }
 }
 
-/// Waits until the process has ended or SIGKILL comes, which then ends it.
+/// Waits until the process exits, and kills it if it has not by the time of SIGKILL.
 async fn await_end(node: &mut NodeProcess, record: &Record, end: &mut ProcessEnd) {
     let kill_at = Instant::from_std(record.started() + end.killed_at);
     if let Ok(Ok(status)) = timeout_at(kill_at, node.wait()).await {
         end.exited_at = Some(record.now());
         end.has_crashed = has_crashed(status);
-        record.add_note(format!("the process has ended: {status}"));
-        // Clients go on until SIGKILL.
+        record.add_note(format!("the process exited: {status}"));
+        // Clients continue until the time of SIGKILL.
         tokio::time::sleep_until(kill_at).await;
         return;
     }
@@ -183,13 +185,13 @@
     node.kill().await;
 }
 
-impl Surroundings {
+impl StandIns {
     async fn start(
         plan: &EndingsPlan,
         record: &Arc<Record>,
-        place: &NodePlace,
-        sabotage: Option<Sabotage>,
-    ) -> Result<Surroundings> {
+        workspace: &NodeWorkspace,
+        violation: Option<InjectedViolation>,
+    ) -> Result<StandIns> {
         let mut servers = Vec::with_capacity(plan.servers.len());
         let mut server_links = Vec::with_capacity(plan.servers.len());
         for index in 0..plan.servers.len() {
@@ -205,11 +207,11 @@
             .collect();
         let discovery = Discovery::start(listed.clone()).await?;
         let discovery_link = Some(Link::start(discovery.address).await?);
-        let client_link = match sabotage {
-            Some(_) => Some(Link::start(place.address()).await?),
+        let client_link = match violation {
+            Some(_) => Some(Link::start(workspace.address()).await?),
             None => None,
         };
-        Ok(Surroundings {
+        Ok(StandIns {
             servers,
             server_links,
             discovery,
@@ -225,20 +227,23 @@
             None => self.discovery.address,
         };
         NodeConfiguration {
-            form: plan.form,
+            config_source: plan.config_source,
             discovery,
             servers: self.listed.iter().map(|server| server.address).collect(),
             deadline: plan.deadline,
         }
     }
 
-    /// Begins the faults of servers and discovery. Returns when the first server was announced as draining, if it was.
-    fn begin_trouble(&mut self, plan: &EndingsPlan, record: &Record) -> Option<Duration> {
+    /// Starts the faults of servers and discovery. Returns when the first server was announced as draining, if it was.
+    fn start_faults(&mut self, plan: &EndingsPlan, record: &Record) -> Option<Duration> {
         for (index, fault) in plan.servers.iter().enumerate() {
-            self.begin_server_fault(index, *fault);
+            self.start_server_fault(index, *fault);
         }
-        record.add_note(format!("trouble: {:?}, {:?}", plan.servers, plan.discovery));
-        if plan.form != NodeForm::Platform {
+        record.add_note(format!(
+            "faults: servers {:?}, discovery {:?}",
+            plan.servers, plan.discovery
+        ));
+        if plan.config_source != ConfigSource::Platform {
             return None;
         }
         match plan.discovery {
@@ -249,7 +254,7 @@
                 }
                 None
             }
-            DiscoveryFault::Gone => {
+            DiscoveryFault::Unavailable => {
                 self.discovery_link = None;
                 None
             }
@@ -262,7 +267,7 @@
         }
     }
 
-    fn begin_server_fault(&mut self, index: usize, fault: ServerFault) {
+    fn start_server_fault(&mut self, index: usize, fault: ServerFault) {
         let Some(server) = self.servers.get(index) else {
             return;
         };
@@ -286,14 +291,14 @@
         }
     }
 
-    fn begin_sabotage(&self, sabotage: Option<Sabotage>) {
-        if let (Some(link), Some(sabotage)) = (&self.client_link, sabotage) {
-            link.update_faults(|faults| sabotage.apply(faults));
+    fn inject_violation(&self, violation: Option<InjectedViolation>) {
+        if let (Some(link), Some(violation)) = (&self.client_link, violation) {
+            link.update_faults(|faults| violation.apply(faults));
         }
     }
 }
 
-/// Starts a server whose events are recorded.
+/// Starts a server that records its events.
 pub(super) async fn start_server(
     index: usize,
     service_time: Duration,
--- a/crates/testbed/src/soak/exchange.rs
+++ b/crates/testbed/src/soak/exchange.rs
@@ -1,6 +1,6 @@
 //! Requests and responses on one connection, byte by byte. Used by `client`.
 
-use super::plan::NodeForm;
+use super::plan::ConfigSource;
 use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -8,7 +8,7 @@
 
 /// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
-/// Bytes that are read at a time.
+/// Length of the read buffer, in bytes.
 const READ_BYTES: usize = 4096;
 
 /// A request as it is written.
@@ -19,9 +19,9 @@
 }
 
 impl RequestText {
-    /// A request by the host of a settings file's route, and by the class of the node's configuration.
+    /// Builds a request with the host of the route in the settings file and the class name of this kind of configuration.
     pub(super) fn new(
-        form: NodeForm,
+        config_source: ConfigSource,
         id: String,
         at_most_once: bool,
         body_length: usize,
@@ -32,7 +32,7 @@
         } else {
             ("GET", "evaluate.example.org")
         };
-        let class = class_name(form, at_most_once);
+        let class = class_name(config_source, at_most_once);
         let framing = if at_most_once {
             format!("content-length: {body_length}\r\n")
         } else {
@@ -53,24 +53,24 @@
     }
 }
 
-/// The name that the configuration of a node gives to the class of such requests.
-fn class_name(form: NodeForm, at_most_once: bool) -> &'static str {
-    match (form, at_most_once) {
-        (NodeForm::Platform, false) => "read",
-        (NodeForm::Platform, true) => "write",
-        (NodeForm::SettingsFile, false) => "evaluate",
-        (NodeForm::SettingsFile, true) => "toggle",
+/// The name of the request's class in this kind of configuration.
+fn class_name(config_source: ConfigSource, at_most_once: bool) -> &'static str {
+    match (config_source, at_most_once) {
+        (ConfigSource::Platform, false) => "read",
+        (ConfigSource::Platform, true) => "write",
+        (ConfigSource::SettingsFile, false) => "evaluate",
+        (ConfigSource::SettingsFile, true) => "toggle",
     }
 }
 
-/// What was read in place of a response.
+/// The result of reading a response.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ReadResponse {
-    /// A whole response.
+    /// A complete response.
     Response { status: u16, body: Vec<u8> },
-    /// A part of one, and the end of the connection.
+    /// The connection ended within a response.
     CutShort,
-    /// The end of the connection.
+    /// The connection ended before the first byte of a response.
     Ended { was_reset: bool },
 }
 
@@ -85,14 +85,14 @@
 /// A client's connection.
 pub(super) struct Connection {
     stream: TcpStream,
-    /// What was read behind the last response.
+    /// Bytes read after the last response.
     unread: Vec<u8>,
     is_announced_closed: bool,
 }
 
 impl Connection {
     pub(super) fn new(stream: TcpStream) -> Connection {
-        // A request that the system holds back would be one that was not written.
+        // With Nagle's algorithm the system may hold back a request that counts as written.
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -101,28 +101,28 @@
         }
     }
 
-    /// Writes bytes; returns whether the system took them.
+    /// Writes bytes; returns whether the system accepted them.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).await.is_ok()
     }
 
-    /// Whether a response said that the connection would be closed.
+    /// Whether a response announced the close of the connection (`connection: close`).
     pub(super) fn is_announced_closed(&self) -> bool {
         self.is_announced_closed
     }
 
-    /// Returns once the other side has ended the connection, or sent something.
+    /// Returns when the peer has closed the connection or sent data.
     pub(super) async fn closed(&mut self) {
         let mut byte = [0];
         let _ = self.stream.peek(&mut byte).await;
     }
 
-    /// Closes the connection.
+    /// Shuts down the write side of the connection.
     pub(super) async fn close(&mut self) {
         let _ = self.stream.shutdown().await;
     }
 
-    /// Reads the next response, without those that are only provisional.
+    /// Reads the next response; interim (1xx) responses are skipped.
     pub(super) async fn read_response(&mut self) -> ReadResponse {
         loop {
             let head = loop {
@@ -157,7 +157,10 @@
         }
     }
 
-    /// Reads what has arrived, or how the connection ended.
+    /// Reads available bytes into `unread`.
+    ///
+    /// # Errors
+    /// Returns how the connection ended.
     async fn read_more(&mut self) -> Result<(), ReadResponse> {
         let mut buffer = [0; READ_BYTES];
         let has_part = !self.unread.is_empty();
--- a/crates/testbed/src/soak/fleet_day.rs
+++ b/crates/testbed/src/soak/fleet_run.rs
@@ -1,8 +1,8 @@
-//! A day of a fleet of real processes: drawn faults, then a server that pauses, and responds again.
+//! Runs of kind `fleet`: a fleet of real processes under random faults, then a server that pauses and responds again.
 
-use super::ejections::{self, EjectionWatch, Pause};
-use super::judge::load::{unserved, LoadSummary};
-use super::judge::{mark_disturbed, Finding, Judgement, Rule};
+use super::checker::load::{unserved, LoadSummary};
+use super::checker::{mark_disturbed, CheckResult, Finding, Rule};
+use super::ejections::{self, EjectionPoller, Pause};
 use super::stalls::StallMeter;
 use crate::fleet::history::{History, TimedEvent};
 use crate::fleet::invariants::{find_violations, Violation, ViolationKind, SCHEDULING_SLACK};
@@ -14,73 +14,73 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Nodes: this number at least, and so many more at most.
+/// Number of nodes: the minimum, and the maximum number of additional ones.
 const NODES: (u64, u64) = (4, 4);
-/// Servers: this number at least, and so many more at most.
+/// Number of servers: the minimum, and the maximum number of additional ones.
 const SERVERS: (u64, u64) = (6, 2);
-/// Requests a second at each node: this number at least, and so many more at most.
+/// Requests per second at each node: the minimum, and the range above it.
 const RATE: (u64, u64) = (20, 80);
 /// Shortest and longest pause of the server, in milliseconds.
 const PAUSE_MS: (u64, u64) = (300, 10_000);
-/// Shortest and longest time that all servers are late, in milliseconds, on every other day.
+/// Shortest and longest time that all servers pause together, in milliseconds, in every other run.
 const COMMON_PAUSE_MS: (u64, u64) = (250, 500);
-/// Share of requests that must have their effect at most once.
+/// Share of requests that must be executed at most once.
 const AT_MOST_ONCE_RATIO: f64 = 0.2;
-/// How long the drawn faults last before the pause.
+/// Duration of the random faults before the pause.
 const FAULTS_DURATION: Duration = Duration::from_secs(5);
-/// How long the fleet has for its reports of those faults to expire.
+/// Time between those faults and the pause, in which the reports about them expire.
 const RECOVERY_TIME: Duration = Duration::from_secs(11);
-/// One day of so many has two nodes of one name.
-const DAYS_PER_NAME_CONFLICT: u64 = 5;
-/// Reports on a server that responds again expire within this time: the default of `verdicts.lasts`.
+/// One of this number of runs has two nodes with the same name.
+const RUNS_PER_NAME_CONFLICT: u64 = 5;
+/// Reports about a server that responds again expire within this time: the default of `verdicts.lasts`.
 const READMISSION_TIME: Duration = Duration::from_secs(10);
-/// A server that was readmitted gets an attempt of each node within this time.
+/// A readmitted server gets an attempt from each node within this time.
 const FIRST_ATTEMPT_TIME: Duration = Duration::from_secs(3);
-/// The load of so long before the pause has to be served: by then the drawn faults are over.
+/// The load in this time before the pause must be served, as the random faults are over by then.
 const SERVED_TIME: Duration = Duration::from_secs(3);
 
-/// A day of a fleet.
+/// The plan of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetPlan {
-    /// Its seed.
+    /// Seed that the plan was generated from.
     pub seed: u64,
     /// Number of nodes.
     pub nodes: usize,
     /// Number of servers.
     pub servers: usize,
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
-    /// Whether the last two nodes have one name.
+    /// Whether the last two nodes have the same name.
     pub has_name_conflict: bool,
-    /// The faults before the pause; none are left at their end.
+    /// Schedule of the faults before the pause, which ends with all faults removed.
     pub faults: Vec<Step>,
-    /// The server that pauses.
+    /// Index of the server that pauses.
     pub paused_server: usize,
-    /// How long it pauses.
+    /// Duration of its pause.
     pub pause: Duration,
-    /// How long all other servers pause at the same time.
+    /// How long all other servers pause, from the same moment on; `None` if they do not.
     pub common_pause: Option<Duration>,
 }
 
 impl FleetPlan {
-    /// The day of this seed.
-    pub fn draw(seed: u64) -> FleetPlan {
+    /// Generates the plan of a seed. The same seed always gives the same plan.
+    pub fn from_seed(seed: u64) -> FleetPlan {
         let mut random = SeededRng(seed.wrapping_mul(0x9e37_79b9).wrapping_add(1));
-        let mut draw = |(min, range): (u64, u64)| min + random.next_u64() % (range + 1);
-        let nodes = draw(NODES) as usize;
-        let servers = draw(SERVERS) as usize;
-        let rate = draw(RATE) as f64;
-        let paused_server = draw((0, servers as u64 - 1)) as usize;
+        let mut number = |(min, range): (u64, u64)| min + random.next_u64() % (range + 1);
+        let nodes = number(NODES) as usize;
+        let servers = number(SERVERS) as usize;
+        let rate = number(RATE) as f64;
+        let paused_server = number((0, servers as u64 - 1)) as usize;
         let (min_pause, max_pause) = PAUSE_MS;
-        let pause = Duration::from_millis(draw((min_pause, max_pause - min_pause)));
+        let pause = Duration::from_millis(number((min_pause, max_pause - min_pause)));
         let (min_common, max_common) = COMMON_PAUSE_MS;
-        let common_pause = Duration::from_millis(draw((min_common, max_common - min_common)));
+        let common_pause = Duration::from_millis(number((min_common, max_common - min_common)));
         FleetPlan {
             seed,
             nodes,
             servers,
             rate,
-            has_name_conflict: seed.is_multiple_of(DAYS_PER_NAME_CONFLICT),
+            has_name_conflict: seed.is_multiple_of(RUNS_PER_NAME_CONFLICT),
             faults: schedule::generate(seed, nodes, servers, FAULTS_DURATION),
             paused_server,
             pause,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The nodes that have the name of another one, and those that have one of their own.
+    /// The nodes that share a name with another node, and those with a unique name.
     pub(super) fn nodes_by_conflict(&self) -> (Vec<usize>, Vec<usize>) {
         let first_conflicting = if self.has_name_conflict {
             self.nodes - 2
@@ -103,7 +103,7 @@
         self.spec().service_time
     }
 
-    /// The pause of the one server, and that of all others in its first moments.
+    /// The steps of the pause, with that of all other servers at its start.
     fn pause_steps(&self) -> Vec<Step> {
         let set_paused = |server, paused| Step::SetServerPaused { server, paused };
         let others = (0..self.servers).filter(|server| *server != self.paused_server);
@@ -133,20 +133,20 @@
     }
 }
 
-/// What was seen, and what came of it.
+/// The outcome of a run.
 pub struct FleetOutcome {
     /// All events.
     pub history: Arc<History>,
-    /// The findings.
-    pub judgement: Judgement,
+    /// Findings and counts.
+    pub check_result: CheckResult,
 }
 
-/// Plays a day and judges it. With `blocks_server`, the path from the first node to the server is blocked after the pause,
-/// as if the node had not taken an attempt back that it had counted there.
+/// Executes a plan and checks the run. With `blocks_server`, the path from the first node to the paused server is blocked
+/// after the pause: the node then never uses the server again, as if it still counted attempts in flight there.
 ///
 /// # Errors
 /// Fails if a process does not start.
-pub async fn play(
+pub async fn run(
     program: &Program,
     plan: &FleetPlan,
     blocks_server: bool,
@@ -160,7 +160,7 @@
     schedule::execute(&mut fleet, &plan.faults).await?;
     tokio::time::sleep(RECOVERY_TIME).await;
     let server = plan.paused_server;
-    let watch = EjectionWatch::start(&fleet, server, &history);
+    let poller = EjectionPoller::start(&fleet, server, &history);
     let paused_at = history.now();
     schedule::execute(&mut fleet, &plan.pause_steps()).await?;
     if blocks_server {
@@ -182,19 +182,19 @@
         from: paused_at,
         to: resumed_at,
     };
-    findings.extend(ejections::judge(plan, &events, &watch, pause));
+    findings.extend(ejections::check(plan, &events, &poller, pause));
     mark_disturbed(&mut findings, &meter.stalls_since(started));
     Ok(FleetOutcome {
         history,
-        judgement: Judgement {
+        check_result: CheckResult {
             findings,
             load: LoadSummary::of_fleet(&events),
-            crossed: BTreeMap::new(),
+            close_races: BTreeMap::new(),
         },
     })
 }
 
-/// The finding of a load that was not served before the pause.
+/// Returns a finding if the load right before the pause was not served.
 fn unserved_load(events: &[TimedEvent], paused_at: Duration) -> Option<Finding> {
     let from = paused_at.saturating_sub(SERVED_TIME);
     let queries::ServedRatio { ratio, requests } = queries::served_ratio(events, from, paused_at);
@@ -224,7 +224,7 @@
     }
 }
 
-/// Whether a node has not used the server again in time.
+/// Returns a finding if a node sent the server no attempt in time after the pause.
 fn unused_server(
     plan: &FleetPlan,
     events: &[TimedEvent],
@@ -241,7 +241,7 @@
         at: first_by,
         overrun: None,
         text: format!(
-            "node {node} sent {name} nothing for {:?}",
+            "node {node} sent {name} no attempt for {:?} after its pause",
             first_by - resumed_at
         ),
         disturbed_for: None,
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,33 +1,34 @@
-//! A soak: many days drawn from seeds, each judged by what clients and servers saw. The command `soak` and tests run it.
+//! Randomized soak runs, each generated from a seed and checked against the rules that clients and servers can observe.
+//! The command `soak` and tests run them.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`plan`] | what happens on a day of endings, drawn from its seed |
-//! | [`endings`] | playing such a day |
-//! | [`fleet_day`] | a day of a fleet, with servers that pause and respond again |
-//! | `ejections` | the judgement of ejections on such a day |
-//! | [`upgrade_plan`] | what happens on a day of upgrades, drawn from its seed |
-//! | [`upgrades`] | playing such a day |
+//! | [`plan`] | the plan of a run of kind `endings` (shutdown of a node under load), generated from a seed |
+//! | [`endings`] | execution of such a plan |
+//! | [`fleet_run`] | runs of kind `fleet`: servers that pause and respond again |
+//! | `ejections` | checks of the ejections in a fleet run |
+//! | [`upgrade_plan`] | the plan of a run of kind `upgrade`, generated from a seed |
+//! | [`upgrades`] | execution of such a plan |
 //! | [`process`] | the process of the node |
 //! | [`client`] | the clients, which use each connection until it ends |
 //! | `exchange` | requests and responses on one connection |
-//! | [`record`] | what clients and servers saw |
-//! | [`judge`] | the findings |
-//! | [`stalls`] | delays of the machine |
-//! | [`sabotage`] | violations that are put in on purpose |
-//! | [`report`] | lines and tables |
+//! | [`record`] | the events that clients and servers observed |
+//! | [`checker`] | the rules, and the findings about their violations |
+//! | [`stalls`] | scheduling stalls of the machine |
+//! | [`injected_violation`] | rule violations that tests inject to show that the checker finds them |
+//! | [`report`] | output lines and tables |
 
+pub mod checker;
 pub mod client;
 mod ejections;
 pub mod endings;
 mod exchange;
-pub mod fleet_day;
-pub mod judge;
+pub mod fleet_run;
+pub mod injected_violation;
 pub mod plan;
 pub mod process;
 pub mod record;
 pub mod report;
-pub mod sabotage;
 pub mod stalls;
 pub mod upgrade_plan;
 pub mod upgrades;
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,43 +1,43 @@
-//! What happens on one day of endings, drawn from its seed. [`super::endings`] carries it out.
+//! The plan of a run of kind `endings`, generated from a seed. [`super::endings`] executes it.
 
 use crate::SeededRng;
 use std::time::Duration;
 
-/// Days in each group of ten that have a crowd of idle clients.
-const CROWDED_OF_TEN: u64 = 3;
-/// The day of ten on which the signal comes right after the start.
+/// Of every ten consecutive seeds, the number of runs in which idle clients exhaust the node's connections.
+const EXHAUSTION_RUNS_OF_TEN: u64 = 3;
+/// The seed modulo ten of runs whose signals come right after the start of the process.
 const SIGNAL_AFTER_START: u64 = 8;
-/// The day of ten on which the signal comes right after the node is ready.
+/// The seed modulo ten of runs whose signals come right after the node is ready.
 const SIGNAL_AFTER_READY: u64 = 9;
-/// Servers of each day.
+/// Number of servers in each run.
 const SERVERS: usize = 4;
-/// Clients of each kind.
+/// Number of clients of each kind.
 const CLIENTS_OF_KIND: usize = 3;
-/// SIGTERM is sent up to this number of times.
+/// Largest number of SIGTERM in a series.
 const MAX_TERMINATIONS: u64 = 3;
-/// SIGHUP is sent up to this number of times.
+/// Largest number of SIGHUP in a series.
 const MAX_HANGUPS: u64 = 5;
-/// Greatest pause between two signals of a series, in milliseconds.
+/// Longest pause between two signals of a series, in milliseconds.
 const MAX_SIGNAL_PAUSE_MS: u64 = 50;
 /// Shortest and longest deadline of requests, in milliseconds.
 pub(super) const DEADLINE_MS: (u64, u64) = (1000, 3000);
-/// How long new connections come after the first SIGTERM, in milliseconds.
+/// Shortest and longest time after the first SIGTERM in which clients still open connections, in milliseconds.
 const CONNECTING_MS: (u64, u64) = (200, 400);
-/// How long the load runs before the signals, in milliseconds. A node gets no SIGHUP in its first second.
+/// Shortest and longest load before the signals, in milliseconds. A node must not get SIGHUP in its first second.
 const LOAD_MS: (u64, u64) = (1050, 1500);
-/// Greatest time from a start, or from readiness, to a signal that comes right after it, in milliseconds.
+/// Longest time from the start, or from readiness, to signals that come right after it, in milliseconds.
 const MAX_EARLY_SIGNAL_MS: u64 = 20;
 
-/// How the node is configured.
+/// Where the node's configuration comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeForm {
-    /// By the platform's configuration and discovery.
+pub enum ConfigSource {
+    /// The platform's configuration; discovery provides the servers.
     Platform,
-    /// By a settings file with the servers.
+    /// A settings file, which lists the servers.
     SettingsFile,
 }
 
-/// A signal to the node.
+/// A kind of signal to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeSignal {
     /// SIGTERM.
@@ -46,16 +46,16 @@
     Reload,
 }
 
-/// A signal of a series.
+/// A signal of a series, with the pause before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedSignal {
-    /// The pause before it.
+    /// Pause before the signal.
     pub pause: Duration,
-    /// The signal.
+    /// Kind of the signal.
     pub signal: NodeSignal,
 }
 
-/// When the signals come.
+/// When the series of signals starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalTime {
     /// After the node has served for this time.
@@ -66,102 +66,102 @@
     AfterReady(Duration),
 }
 
-/// What a client does.
+/// The behavior of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientKind {
-    /// One request after the other.
+    /// Sends one request after the other, with short pauses.
     Quick,
-    /// Rests between two requests, and uses its connection again.
-    Resting,
-    /// Writes the head of each request in pieces.
+    /// Idles between two requests, and reuses its connection.
+    Idling,
+    /// Writes each request in two pieces.
     SlowWriter,
     /// Pauses in the middle of each body.
     PausingInBody,
-    /// Writes three requests at once.
+    /// Writes three requests at once, before it reads their responses.
     Pipelining,
-    /// Closes its connection soon after each request.
-    Leaving,
+    /// Closes its connection soon after each request, without reading the response.
+    Disconnecting,
 }
 
 impl ClientKind {
     pub(super) const ALL: [ClientKind; 6] = [
         ClientKind::Quick,
-        ClientKind::Resting,
+        ClientKind::Idling,
         ClientKind::SlowWriter,
         ClientKind::PausingInBody,
         ClientKind::Pipelining,
-        ClientKind::Leaving,
+        ClientKind::Disconnecting,
     ];
 }
 
-/// What a server does from the first signal on.
+/// The fault of a server from right before the first signal on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerFault {
-    /// It serves.
+    /// It has no fault.
     None,
-    /// It makes no progress.
+    /// It accepts connections, but makes no progress.
     Hangs,
-    /// The path to it is slow, in both directions.
+    /// The network path to it is slow in both directions.
     SlowPath,
-    /// It closes some connections before or after the effect of a request.
+    /// It closes some connections before or after the effect of a request, without a response.
     ClosesConnections,
-    /// Its connections end, and it can't be reached any more.
+    /// Its connections end, and it accepts no new ones.
     Unreachable,
 }
 
-/// What discovery does at the first signal.
+/// The fault of discovery from right before the first signal on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFault {
-    /// It serves.
+    /// It has no fault.
     None,
-    /// It falls silent, with open connections.
+    /// It sends nothing more on its open connections.
     Silent,
     /// It closes its connections, and accepts no new ones.
-    Gone,
+    Unavailable,
     /// It announces that the first server drains.
     AnnouncesDrain,
 }
 
-/// One day.
+/// The plan of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndingsPlan {
-    /// Its seed.
+    /// Seed that the plan was generated from.
     pub seed: u64,
-    /// How the node is configured.
-    pub form: NodeForm,
-    /// When the signals come.
+    /// Where the node's configuration comes from.
+    pub config_source: ConfigSource,
+    /// When the series of signals starts.
     pub signal_time: SignalTime,
     /// The signals, in order.
     pub signals: Vec<TimedSignal>,
-    /// Whether idle clients take all connections that the node has for clients.
-    pub has_crowd: bool,
-    /// Whether the configuration is replaced at the first signal.
+    /// Whether idle clients occupy all connections that the node has for clients.
+    pub exhausts_connections: bool,
+    /// Whether the configuration is written anew right before the first signal.
     pub replaces_configuration: bool,
-    /// The deadline of requests.
+    /// Deadline of all requests.
     pub deadline: Duration,
-    /// How long new connections come after the first SIGTERM.
+    /// How long clients still open connections after the first SIGTERM.
     pub connecting: Duration,
-    /// The clients.
+    /// The kind of each client.
     pub clients: Vec<ClientKind>,
-    /// The servers.
+    /// The fault of each server.
     pub servers: Vec<ServerFault>,
-    /// Discovery; without effect on a node with a settings file.
+    /// The fault of discovery. It has no effect on a node with a settings file.
     pub discovery: DiscoveryFault,
 }
 
 impl EndingsPlan {
-    /// The day of this seed.
-    pub fn draw(seed: u64) -> EndingsPlan {
-        // Seeds that follow each other are close: the first numbers would be, too.
+    /// Generates the plan of a seed. The same seed always gives the same plan.
+    pub fn from_seed(seed: u64) -> EndingsPlan {
+        // The first random numbers of consecutive seeds would be close to each other.
         let mut random = SeededRng(seed.wrapping_mul(0x9e37_79b9));
         random.next_u64();
-        let form = if (seed / 2).is_multiple_of(2) {
-            NodeForm::Platform
+        let config_source = if (seed / 2).is_multiple_of(2) {
+            ConfigSource::Platform
         } else {
-            NodeForm::SettingsFile
+            ConfigSource::SettingsFile
         };
         let early = Duration::from_millis(random.next_u64() % (MAX_EARLY_SIGNAL_MS + 1));
-        let load = draw_ms(&mut random, LOAD_MS);
+        let load = random_ms(&mut random, LOAD_MS);
         let signal_time = match seed % 10 {
             SIGNAL_AFTER_START => SignalTime::AfterStart(early),
             SIGNAL_AFTER_READY => SignalTime::AfterReady(early),
@@ -171,27 +171,27 @@
         let clients = (0..CLIENTS_OF_KIND).flat_map(|_| ClientKind::ALL);
         EndingsPlan {
             seed,
-            form,
+            config_source,
             signal_time,
-            signals: draw_signals(&mut random, may_reload),
-            has_crowd: seed % 10 < CROWDED_OF_TEN,
+            signals: random_signals(&mut random, may_reload),
+            exhausts_connections: seed % 10 < EXHAUSTION_RUNS_OF_TEN,
             replaces_configuration: random.next_fraction() < 0.5,
-            deadline: draw_ms(&mut random, DEADLINE_MS),
-            connecting: draw_ms(&mut random, CONNECTING_MS),
+            deadline: random_ms(&mut random, DEADLINE_MS),
+            connecting: random_ms(&mut random, CONNECTING_MS),
             clients: clients.collect(),
-            servers: (0..SERVERS).map(|_| draw_server(&mut random)).collect(),
-            discovery: draw_discovery(&mut random),
+            servers: (0..SERVERS).map(|_| random_server(&mut random)).collect(),
+            discovery: random_discovery(&mut random),
         }
     }
 }
 
-/// A time between two numbers of milliseconds.
-pub(super) fn draw_ms(random: &mut SeededRng, (min, max): (u64, u64)) -> Duration {
+/// Returns a random duration between two numbers of milliseconds, both included.
+pub(super) fn random_ms(random: &mut SeededRng, (min, max): (u64, u64)) -> Duration {
     Duration::from_millis(min + random.next_u64() % (max - min + 1))
 }
 
-/// SIGTERM once or more, and SIGHUP before, between and behind, in any order.
-fn draw_signals(random: &mut SeededRng, may_reload: bool) -> Vec<TimedSignal> {
+/// Returns a random series of one or more SIGTERM and, with `may_reload`, some SIGHUP, in random order.
+fn random_signals(random: &mut SeededRng, may_reload: bool) -> Vec<TimedSignal> {
     let terminations = 1 + random.next_u64() % MAX_TERMINATIONS;
     let reloads = if may_reload {
         random.next_u64() % (MAX_HANGUPS + 1)
@@ -218,7 +218,7 @@
     }
 }
 
-fn draw_server(random: &mut SeededRng) -> ServerFault {
+fn random_server(random: &mut SeededRng) -> ServerFault {
     match random.next_u64() % 7 {
         0 => ServerFault::Hangs,
         1 => ServerFault::SlowPath,
@@ -228,10 +228,10 @@
     }
 }
 
-fn draw_discovery(random: &mut SeededRng) -> DiscoveryFault {
+fn random_discovery(random: &mut SeededRng) -> DiscoveryFault {
     match random.next_u64() % 4 {
         0 => DiscoveryFault::Silent,
-        1 => DiscoveryFault::Gone,
+        1 => DiscoveryFault::Unavailable,
         2 => DiscoveryFault::AnnouncesDrain,
         _ => DiscoveryFault::None,
     }
--- a/crates/testbed/src/soak/process.rs
+++ b/crates/testbed/src/soak/process.rs
@@ -1,6 +1,6 @@
-//! The process of a node on a day of endings: its configuration, its start, signals to it, and its end.
+//! The process of a node in the runs `endings` and `upgrade`: its configuration, its start, signals to it, and its exit.
 
-use super::plan::{NodeForm, NodeSignal};
+use super::plan::{ConfigSource, NodeSignal};
 use crate::node::{wait_for_health, Folder, Program};
 use crate::ports::Port;
 use crate::scripted::PlatformConfiguration;
@@ -15,33 +15,33 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// Sockets that the node may open: few enough for a crowd to take them.
+/// Number of sockets that the node may open: few enough for idle clients to exhaust them.
 const MAX_SOCKETS: usize = 96;
 /// Latency objective of all classes.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
 
-/// SIGKILL comes so long after the deadline that follows SIGTERM.
+/// Time from the longest deadline after SIGTERM to SIGKILL.
 pub const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// How long requests may still be sent to a draining server.
+/// How long requests may still be sent to a server after it was announced as draining.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// What a node is configured with.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfiguration {
-    /// By the platform, or by a settings file.
-    pub form: NodeForm,
-    /// Where the node finds discovery, on the platform.
+    /// Whether the platform or a settings file configures the node.
+    pub config_source: ConfigSource,
+    /// Address of discovery, for the platform's configuration.
     pub discovery: SocketAddr,
-    /// The addresses of its servers, in a settings file.
+    /// Addresses of the servers, for a settings file.
     pub servers: Vec<SocketAddr>,
-    /// The deadline of requests.
+    /// Deadline of all requests.
     pub deadline: Duration,
 }
 
 impl NodeConfiguration {
     fn to_text(&self, listen: SocketAddr) -> String {
-        match self.form {
-            NodeForm::Platform => PlatformConfiguration {
+        match self.config_source {
+            ConfigSource::Platform => PlatformConfiguration {
                 listen,
                 discovery: self.discovery,
                 max_sockets: MAX_SOCKETS,
@@ -50,7 +50,7 @@
                 drain_grace: DRAIN_GRACE,
             }
             .to_json(),
-            NodeForm::SettingsFile => self.settings_file(listen),
+            ConfigSource::SettingsFile => self.settings_file(listen),
         }
     }
 
@@ -83,25 +83,25 @@
     }
 }
 
-/// A port for clients, and a folder with the configuration and the log of a node.
-pub struct NodePlace {
+/// The port for clients and the folder with the configuration and the log of a node. Consecutive processes share them.
+pub struct NodeWorkspace {
     folder: Folder,
     port: Port,
 }
 
-impl NodePlace {
-    /// A place of its own.
+impl NodeWorkspace {
+    /// Reserves a port and creates a folder.
     ///
     /// # Errors
-    /// Fails if there is no port or no folder.
-    pub fn reserve() -> Result<NodePlace> {
-        Ok(NodePlace {
+    /// Fails if no port is free or the folder can't be created.
+    pub fn reserve() -> Result<NodeWorkspace> {
+        Ok(NodeWorkspace {
             folder: Folder::new()?,
             port: Port::reserve()?,
         })
     }
 
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub fn address(&self) -> SocketAddr {
         self.port.address()
     }
@@ -114,7 +114,7 @@
         self.folder.path().join("log")
     }
 
-    /// Writes the configuration that the next start or reload reads.
+    /// Replaces the configuration, which the next start or reload reads.
     ///
     /// # Errors
     /// Fails if the file can't be written.
@@ -125,42 +125,47 @@
         Ok(())
     }
 
-    /// What the node has logged so far.
+    /// The log of the node so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.log_file()).unwrap_or_default()
     }
 }
 
-/// Whether a process that was told to end has crashed. SIGTERM may come before the process handles it.
+/// Whether a process that got SIGTERM has crashed. Termination by SIGTERM itself is no crash, since the signal may arrive
+/// before the process handles it.
 pub fn has_crashed(status: ExitStatus) -> bool {
     !status.success() && status.signal() != Some(Signal::SIGTERM as i32)
 }
 
-/// A process of a node. It is killed when this is dropped.
+/// A process of a node. It is killed on drop.
 pub struct NodeProcess {
     child: Child,
     management: Option<Port>,
 }
 
 impl NodeProcess {
-    /// Starts a process with the configuration of its place.
+    /// Starts a process with the configuration of a workspace.
     ///
     /// # Errors
     /// Fails if it does not start.
-    pub fn start(program: &Program, place: &NodePlace, form: NodeForm) -> Result<NodeProcess> {
+    pub fn start(
+        program: &Program,
+        workspace: &NodeWorkspace,
+        config_source: ConfigSource,
+    ) -> Result<NodeProcess> {
         Ok(NodeProcess {
-            child: NodeProcess::command(program, place, form)?.spawn()?,
+            child: NodeProcess::command(program, workspace, config_source)?.spawn()?,
             management: None,
         })
     }
 
-    /// Starts a process of the platform's form with a management address, which can take over from the one before it.
+    /// Starts a process with the platform's configuration and a management address; it can take over from its predecessor.
     ///
     /// # Errors
-    /// Fails if it does not start, or if there is no port.
-    pub fn start_managed(program: &Program, place: &NodePlace) -> Result<NodeProcess> {
+    /// Fails if it does not start, or if no port is free.
+    pub fn start_managed(program: &Program, workspace: &NodeWorkspace) -> Result<NodeProcess> {
         let management = Port::reserve()?;
-        let mut command = NodeProcess::command(program, place, NodeForm::Platform)?;
+        let mut command = NodeProcess::command(program, workspace, ConfigSource::Platform)?;
         command.env("ROUTER_MANAGEMENT", management.address().to_string());
         Ok(NodeProcess {
             child: command.spawn()?,
@@ -168,21 +173,25 @@
         })
     }
 
-    fn command(program: &Program, place: &NodePlace, form: NodeForm) -> Result<Command> {
+    fn command(
+        program: &Program,
+        workspace: &NodeWorkspace,
+        config_source: ConfigSource,
+    ) -> Result<Command> {
         let log = File::options()
             .create(true)
             .append(true)
-            .open(place.log_file())?;
+            .open(workspace.log_file())?;
         let mut command = Command::from(program.command());
-        match form {
-            NodeForm::Platform => command.env("ROUTER_CONFIG", place.configuration_file()),
-            NodeForm::SettingsFile => command
+        match config_source {
+            ConfigSource::Platform => command.env("ROUTER_CONFIG", workspace.configuration_file()),
+            ConfigSource::SettingsFile => command
                 .arg("run")
                 .arg("--config")
-                .arg(place.configuration_file()),
+                .arg(workspace.configuration_file()),
         };
         command
-            .env("TMPDIR", place.folder.path())
+            .env("TMPDIR", workspace.folder.path())
             .stdout(Stdio::null())
             .stderr(Stdio::from(log))
             .kill_on_drop(true);
@@ -200,7 +209,7 @@
             .address())
     }
 
-    /// Waits until it serves.
+    /// Waits until the management address reports readiness.
     ///
     /// # Errors
     /// Fails for a process without a management address, and if it is not ready in time.
@@ -208,7 +217,7 @@
         wait_for_health(self.management()?, "/-/ready", true).await
     }
 
-    /// Sends a signal; one to a process that has ended is lost.
+    /// Sends a signal. Does nothing if the process has exited.
     pub fn signal(&self, signal: NodeSignal) {
         let signal = match signal {
             NodeSignal::Terminate => Signal::SIGTERM,
@@ -220,7 +229,7 @@
         }
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the exit of the process.
     ///
     /// # Errors
     /// Fails if the process can't be waited for.
@@ -230,7 +239,7 @@
 
     /// Kills the process.
     pub async fn kill(&mut self) {
-        // It may have ended.
+        // The process may have exited already.
         let _ = self.child.kill().await;
     }
 }
--- a/crates/testbed/src/soak/record.rs
+++ b/crates/testbed/src/soak/record.rs
@@ -1,4 +1,4 @@
-//! What clients and servers saw on a day of endings, by one clock. Written by `client` and `endings`, read by `judge`.
+//! What clients and servers observed in a run, by a single clock. Written by the clients and the servers, read by `checker`.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,25 +7,25 @@
 /// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// A whole response came.
+    /// A complete response arrived.
     Answered {
-        /// Its status.
+        /// Status code.
         status: u16,
-        /// Whether it is the response to this request, as far as its body tells.
+        /// Whether it is the response to this request: the body of a 200 must be the request's id.
         is_own: bool,
     },
-    /// The response was cut short, and its client can tell.
+    /// The response was truncated, detectably for the client.
     CutShort,
-    /// The connection ended without a byte of the response.
+    /// The connection ended before the first byte of the response.
     ConnectionEnded {
-        /// By a reset, and not in order.
+        /// It was reset, not closed in order.
         was_reset: bool,
-        /// An earlier response on the connection said that it would be closed.
+        /// An earlier response on the connection announced the close.
         was_announced: bool,
     },
     /// The client closed the connection.
-    ClientLeft,
-    /// The client gave up waiting.
+    ClientDisconnected,
+    /// The client stopped waiting for a response.
     NoAnswer,
 }
 
@@ -38,41 +38,41 @@
         }
     }
 
-    /// Whether the response says that the request had no effect, and can be repeated.
+    /// Whether the response says that the request had no effect and can be retried.
     pub fn is_refusal(&self) -> bool {
         matches!(self.status(), Some(429 | 503))
     }
 }
 
-/// A request of a client.
+/// A request and its end, as recorded by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Unique id, sent as the correlation id.
     pub id: String,
-    /// Whether it must have its effect at most once.
+    /// Whether it must be executed at most once.
     pub at_most_once: bool,
-    /// Its client.
+    /// Name of the client.
     pub client: String,
-    /// The number of its connection among those of its client.
+    /// Number of the connection among those of its client, from 1.
     pub connection: u64,
     /// When its last byte was written.
     pub written_at: Duration,
-    /// When it ended.
+    /// When the client had its end.
     pub ended_at: Duration,
     /// How it ended.
     pub end: RequestEnd,
-    /// The text of an answer other than 200.
+    /// Body of an answer other than 200.
     pub failure_text: Option<String>,
 }
 
 impl RequestRecord {
-    /// What tells its connection from all others.
+    /// Identifies the connection among those of all clients.
     pub(super) fn connection_key(&self) -> (&str, u64) {
         (&self.client, self.connection)
     }
 }
 
-/// What happened at a server.
+/// Kind of an event at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
     /// An attempt arrived.
@@ -84,26 +84,26 @@
 /// An event at a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRecord {
-    /// The server's index.
+    /// Index of the server.
     pub server: usize,
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// What happened.
+    /// Kind of the event.
     pub event: ServerEvent,
-    /// When.
+    /// Time of the event, by the clock of the record.
     pub at: Duration,
 }
 
-/// Something that was done to the node, or that it did.
+/// A note about the node or the test, for the text of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// When.
+    /// Time of the note, by the clock of the record.
     pub at: Duration,
-    /// What.
+    /// What happened.
     pub text: String,
 }
 
-/// All that was seen.
+/// All observations of a run.
 #[derive(Debug)]
 pub struct Record {
     started: Instant,
@@ -115,7 +115,7 @@
 }
 
 impl Record {
-    /// An empty record, whose clock starts now.
+    /// Creates an empty record, whose clock starts now.
     pub fn start() -> Record {
         Record {
             started: Instant::now(),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A record of what was seen elsewhere, whose clock starts now.
+    /// Creates a record with given contents, whose clock starts now.
     pub fn of(requests: Vec<RequestRecord>, server_events: Vec<ServerRecord>) -> Record {
         Record {
             started: Instant::now(),
@@ -142,7 +142,7 @@
         self.started.elapsed()
     }
 
-    /// The moment at which the record's clock started.
+    /// When the record's clock started.
     pub fn started(&self) -> Instant {
         self.started
     }
@@ -153,10 +153,10 @@
         self.request_ended.notify_waiters();
     }
 
-    /// Returns once a request of each kind has an answer.
+    /// Waits until both an at-most-once request and another one have an answer.
     pub async fn first_answers(&self) {
         loop {
-            // Registered before the search, so that none between the two is missed.
+            // Registered before the check, so that no request that ends in between is missed.
             let request_ended = self.request_ended.notified();
             if self.has_answers() {
                 return;
@@ -174,7 +174,7 @@
         is_at_most_once.is_some_and(|first| answered.any(|request| request.at_most_once != first))
     }
 
-    /// Adds an event at a server, which happens now.
+    /// Adds an event at a server, with the current time.
     pub fn add_server_event(&self, server: usize, id: &str, event: ServerEvent) {
         let id = id.to_owned();
         let mut events = lock(&self.server_events);
@@ -187,7 +187,7 @@
         });
     }
 
-    /// Adds a note of what happens now.
+    /// Adds a note, with the current time.
     pub fn add_note(&self, text: impl Into<String>) {
         let (at, text) = (self.now(), text.into());
         lock(&self.notes).push(Note { at, text });
@@ -198,22 +198,19 @@
         lock(&self.requests).clone()
     }
 
-    /// The events at servers, in order.
+    /// The events at servers, in the order of their times.
     pub fn server_events(&self) -> Vec<ServerRecord> {
         lock(&self.server_events).clone()
     }
 
-    /// All of it as text, a line for each event, in the order of their times.
+    /// Formats the record, one line per event, in the order of their times.
     pub fn to_text(&self) -> String {
         let mut lines: Vec<(Duration, String)> = Vec::new();
         for request in self.requests() {
             let id = &request.id;
             lines.push((request.written_at, format!("client wrote {id}")));
             let connection = request.connection;
-            let end = format!(
-                "client {id}: {:?}, on its connection {connection}",
-                request.end
-            );
+            let end = format!("client {id}: {:?}, on connection {connection}", request.end);
             lines.push((request.ended_at, end));
         }
         for event in self.server_events() {
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -1,39 +1,40 @@
-//! Lines and tables of a soak.
+//! Output lines and tables of the soak.
 
-use super::judge::load::LoadSummary;
-use super::judge::{Crossing, Finding, Judgement};
+use super::checker::load::LoadSummary;
+use super::checker::{CheckResult, CloseRace, Finding};
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// The sums of many days.
+/// Totals over many runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// Days that were played.
-    pub days: usize,
-    /// Days with findings that no delay of the machine explains, and days that could not be played.
-    pub red: usize,
-    /// What became of the load of all days.
+    /// Number of runs, with those that could not be completed.
+    pub runs: usize,
+    /// Runs with findings that no stall of the machine explains, and runs that could not be completed.
+    pub failed: usize,
+    /// Sums of the load of all runs.
     pub load: LoadSummary,
-    /// Requests that crossed the end of their connection, by how.
-    crossed: BTreeMap<Crossing, usize>,
-    /// Signals that were sent.
+    /// Number of requests that raced with the close of their connection, by kind of close.
+    close_races: BTreeMap<CloseRace, usize>,
+    /// Number of signals that were sent.
     pub signals: usize,
-    /// Findings by rule, those in delays of the machine apart.
+    /// Number of findings by rule, without those that stalls of the machine explain.
     findings: BTreeMap<String, usize>,
+    /// Number of findings that stalls of the machine explain, by rule.
     disturbed: BTreeMap<String, usize>,
 }
 
 impl Totals {
-    /// Adds a day.
-    pub fn add(&mut self, judgement: &Judgement, signals: usize) {
-        self.days += 1;
-        self.red += usize::from(is_red(judgement));
-        self.load.add(&judgement.load);
-        for (how, count) in &judgement.crossed {
-            *self.crossed.entry(*how).or_default() += count;
+    /// Adds a completed run.
+    pub fn add(&mut self, check_result: &CheckResult, signals: usize) {
+        self.runs += 1;
+        self.failed += usize::from(has_failed(check_result));
+        self.load.add(&check_result.load);
+        for (how, count) in &check_result.close_races {
+            *self.close_races.entry(*how).or_default() += count;
         }
         self.signals += signals;
-        for finding in &judgement.findings {
+        for finding in &check_result.findings {
             let counts = if finding.disturbed_for.is_some() {
                 &mut self.disturbed
             } else {
@@ -43,40 +44,40 @@
         }
     }
 
-    /// Adds a day that could not be played to its end.
-    pub fn add_unplayed(&mut self) {
-        self.days += 1;
-        self.red += 1;
+    /// Adds a run that could not be completed.
+    pub fn add_incomplete(&mut self) {
+        self.runs += 1;
+        self.failed += 1;
     }
 
-    /// A row of a table in Markdown, of which the first cell is the kind of the days.
+    /// Formats a row for the Markdown table of [`TABLE_HEAD`], with the kind of the runs in the first cell.
     pub fn row(&self, kind: &str) -> String {
         format!(
             "| {kind} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
-            self.days,
-            self.red,
+            self.runs,
+            self.failed,
             self.load.requests,
             list(&self.load.statuses),
             self.load.attempts,
             self.signals,
-            list(&self.crossed),
+            list(&self.close_races),
             list(&self.findings),
             list(&self.disturbed)
         )
     }
 
-    /// The answers other than 200, by their text.
+    /// Formats the counts of answers other than 200, by their text.
     pub fn reasons(&self) -> String {
         list(&self.load.reasons)
     }
 }
 
-/// The head of the table.
+/// Head of the Markdown table of the totals.
 pub const TABLE_HEAD: &str =
-    "| kind | seeds | red | requests | answers by status | attempts at servers | signals | crossed | findings | disturbed |\n\
+    "| kind | seeds | red | requests | answers by status | attempts at servers | signals | close races | findings | disturbed |\n\
      | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// Counts by what was counted.
+/// Formats counts as `key: count, ...`.
 pub fn list<K: Display>(counts: &BTreeMap<K, usize>) -> String {
     if counts.is_empty() {
         return "none".to_owned();
@@ -88,15 +89,15 @@
     entries.join(", ")
 }
 
-/// Whether a day has a finding that no delay of the machine explains.
-pub fn is_red(judgement: &Judgement) -> bool {
-    judgement
+/// Whether a run has a finding that no stall of the machine explains.
+pub fn has_failed(check_result: &CheckResult) -> bool {
+    check_result
         .findings
         .iter()
         .any(|finding| finding.disturbed_for.is_none())
 }
 
-/// The findings, a line each.
+/// Formats the findings, one line each.
 pub fn findings(findings: &[Finding]) -> String {
     findings
         .iter()
--- a/crates/testbed/src/soak/stalls.rs
+++ b/crates/testbed/src/soak/stalls.rs
@@ -1,4 +1,4 @@
-//! Delays of the machine, measured by a process that does nothing but sleep and note when it woke.
+//! Scheduling stalls of the machine, measured by a separate process that sleeps repeatedly and reports late wake-ups.
 
 use crate::{AbortOnDrop, Result};
 use nix::time::{clock_gettime, ClockId};
@@ -9,38 +9,38 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::Child;
 
-/// How long the process sleeps at a time.
+/// Duration of one sleep of the measuring process.
 const SLEEP: Duration = Duration::from_millis(5);
-/// The shortest delay that is noted.
+/// The shortest delay that counts as a stall.
 const MIN_STALL: Duration = Duration::from_millis(40);
 
-/// A time in which the machine did not run a process that was ready.
+/// A time in which the machine did not run a process that was ready to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// Its start, by the clock of whoever asks.
+    /// Start, relative to the origin that the caller chose.
     pub from: Duration,
-    /// Its end.
+    /// End, by the same clock.
     pub to: Duration,
 }
 
 impl Stall {
-    /// How much of it lies between two times.
+    /// The part of the stall that lies between two times.
     pub fn overlap(&self, from: Duration, to: Duration) -> Duration {
         self.to.min(to).saturating_sub(self.from.max(from))
     }
 }
 
-/// Measures delays until it is dropped.
+/// Measures stalls until it is dropped.
 pub struct StallMeter {
     stalls: Arc<Mutex<Vec<Stall>>>,
-    /// When the clock of the delays started.
+    /// Origin of the times in `stalls`.
     started: Instant,
     _reader: AbortOnDrop,
     _child: Child,
 }
 
 impl StallMeter {
-    /// Starts the process, from the executable of the test bed.
+    /// Starts the measuring process from the executable of the test bed.
     ///
     /// # Errors
     /// Fails if it does not start.
@@ -72,7 +72,7 @@
         })
     }
 
-    /// The delays since a moment, which their times count from.
+    /// The stalls that ended at or after `moment`, with times relative to it.
     pub fn stalls_since(&self, moment: Instant) -> Vec<Stall> {
         let offset = moment.saturating_duration_since(self.started);
         let stalls = self.stalls.lock().unwrap_or_else(PoisonError::into_inner);
@@ -86,7 +86,7 @@
     }
 }
 
-/// The clock of [`Instant`], as all processes read it.
+/// The monotonic clock, on which [`Instant`] is based and which all processes share.
 fn monotonic() -> Result<Duration> {
     Ok(clock_gettime(ClockId::CLOCK_MONOTONIC)?.into())
 }
@@ -102,7 +102,8 @@
     })
 }
 
-/// The process: sleeps, and prints the start and the end of each delay, in microseconds. Returns when nobody reads.
+/// Runs the measuring process: prints the start and the end of each stall, in microseconds of the monotonic clock. Returns
+/// when the output is closed.
 ///
 /// # Errors
 /// Fails if the clock can't be read.
--- a/crates/testbed/src/soak/upgrades.rs
+++ b/crates/testbed/src/soak/upgrades.rs
@@ -1,11 +1,11 @@
-//! A day of upgrades: processes that take over from each other under load, drains that are lifted, and successors that are
-//! killed.
+//! Runs of kind `upgrade`: processes of a node take over from each other under load, drains start and end, and successors
+//! are killed.
 
+use super::checker::{check_upgrades, CheckResult, Drain, ProcessEnd};
 use super::client::{spawn_clients, ClientContext, LoadPhase};
 use super::endings::start_server;
-use super::judge::{judge_upgrades, Drain, Judgement, ProcessEnd};
-use super::plan::{NodeForm, NodeSignal};
-use super::process::{has_crashed, NodeConfiguration, NodePlace, NodeProcess, KILL_MARGIN};
+use super::plan::{ConfigSource, NodeSignal};
+use super::process::{has_crashed, NodeConfiguration, NodeProcess, NodeWorkspace, KILL_MARGIN};
 use super::record::Record;
 use super::stalls::StallMeter;
 use super::upgrade_plan::{UpgradePlan, UpgradeStep};
@@ -22,11 +22,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The load before the first step.
+/// Duration of the load before the first step.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// The load after the last step.
+/// Duration of the load after the last step.
 const AFTER_LAST_STEP: Duration = Duration::from_millis(500);
-/// Service times of the servers: that of the last is long enough for requests to be in flight at every step.
+/// Service times of the servers. The last is long enough for requests to be in flight at every step.
 const SERVICE_TIMES: [Duration; 4] = [
     Duration::from_millis(4),
     Duration::from_millis(4),
@@ -34,44 +34,44 @@
     Duration::from_millis(60),
 ];
 
-/// What was seen of the node's processes.
+/// Events of the run that the checker takes into account.
 #[derive(Clone, Debug, Default)]
-pub struct SeenUpgrades {
+pub struct ObservedUpgrades {
     /// When successors were killed.
     pub killed_at: Vec<Duration>,
-    /// The times in which the first server drained.
+    /// The drains of the first server.
     pub drains: Vec<Drain>,
-    /// The ends of the processes that were told to end.
+    /// The shutdowns of the processes that got SIGTERM.
     pub ends: Vec<ProcessEnd>,
 }
 
-/// What a day was played with, and what was seen.
+/// The outcome of a run.
 pub struct UpgradesOutcome {
-    /// What clients and servers saw.
+    /// What clients and servers observed.
     pub record: Arc<Record>,
-    /// What came of it.
-    pub judgement: Judgement,
-    /// What the processes have logged.
+    /// Findings and counts.
+    pub check_result: CheckResult,
+    /// The log of all processes.
     pub log: String,
 }
 
-/// The node, and what it is connected to.
-struct Day<'a> {
+/// A run in progress: the node and its stand-ins.
+struct UpgradeRun<'a> {
     program: &'a Program,
     plan: &'a UpgradePlan,
     record: &'a Record,
-    place: NodePlace,
+    workspace: NodeWorkspace,
     process: NodeProcess,
     discovery: Discovery,
     listed: Vec<ListedServer>,
-    seen: SeenUpgrades,
+    observed: ObservedUpgrades,
 }
 
-/// Plays a day and judges it.
+/// Executes a plan and checks the run.
 ///
 /// # Errors
 /// Fails if a stand-in or a process does not start.
-pub async fn play(
+pub async fn run(
     program: &Program,
     plan: &UpgradePlan,
     meter: &StallMeter,
@@ -83,50 +83,50 @@
         .map(|server| ListedServer::active(&server.name, server.address))
         .collect();
     let discovery = Discovery::start(listed.clone()).await?;
-    let place = NodePlace::reserve()?;
-    place.configure(&NodeConfiguration {
-        form: NodeForm::Platform,
+    let workspace = NodeWorkspace::reserve()?;
+    workspace.configure(&NodeConfiguration {
+        config_source: ConfigSource::Platform,
         discovery: discovery.address,
         servers: Vec::new(),
         deadline: plan.deadline,
     })?;
-    let process = NodeProcess::start_managed(program, &place)?;
-    wait_for_health(place.address(), "/_health", true).await?;
+    let process = NodeProcess::start_managed(program, &workspace)?;
+    wait_for_health(workspace.address(), "/_health", true).await?;
     let (phase_sender, phase) = watch::channel(LoadPhase::Connecting);
     let context = Arc::new(ClientContext {
-        address: place.address(),
-        form: NodeForm::Platform,
+        address: workspace.address(),
+        config_source: ConfigSource::Platform,
         deadline: plan.deadline,
         record: record.clone(),
         phase,
     });
     let mut clients = spawn_clients(&context, &plan.clients, plan.seed);
     sleep(WARM_UP).await;
-    let mut day = Day {
+    let mut run = UpgradeRun {
         program,
         plan,
         record: &record,
-        place,
+        workspace,
         process,
         discovery,
         listed,
-        seen: SeenUpgrades::default(),
+        observed: ObservedUpgrades::default(),
     };
     for timed in &plan.steps {
         sleep(timed.wait).await;
-        day.record.add_note(format!("{:?}", timed.step));
-        day.take(timed.step).await?;
+        run.record.add_note(format!("{:?}", timed.step));
+        run.execute(timed.step).await?;
     }
     sleep(AFTER_LAST_STEP).await;
-    phase_sender.send_replace(LoadPhase::Over);
+    phase_sender.send_replace(LoadPhase::Stopped);
     while clients.join_next().await.is_some() {}
     let stalls = meter.stalls_since(record.started());
-    let judgement = judge_upgrades(plan, &record, &day.seen, &stalls);
-    let log = day.place.log();
-    drop(day);
+    let check_result = check_upgrades(plan, &record, &run.observed, &stalls);
+    let log = run.workspace.log();
+    drop(run);
     Ok(UpgradesOutcome {
         record,
-        judgement,
+        check_result,
         log,
     })
 }
@@ -139,21 +139,21 @@
     Ok(servers)
 }
 
-impl Day<'_> {
-    async fn take(&mut self, step: UpgradeStep) -> Result<()> {
+impl UpgradeRun<'_> {
+    async fn execute(&mut self, step: UpgradeStep) -> Result<()> {
         match step {
             UpgradeStep::Upgrade => self.upgrade().await,
-            UpgradeStep::KilledSuccessor(after) => {
-                let mut successor = NodeProcess::start_managed(self.program, &self.place)?;
+            UpgradeStep::KillSuccessor(after) => {
+                let mut successor = NodeProcess::start_managed(self.program, &self.workspace)?;
                 sleep(after).await;
-                self.seen.killed_at.push(self.record.now());
+                self.observed.killed_at.push(self.record.now());
                 successor.kill().await;
                 Ok(())
             }
             UpgradeStep::DrainNode(lasts) => {
-                self.manage("/-/drain").await?;
+                self.call_management("/-/drain").await?;
                 sleep(lasts).await;
-                self.manage("/-/resume").await
+                self.call_management("/-/resume").await
             }
             UpgradeStep::DrainServer(lasts) => {
                 self.set_first_server(ServerStatus::Draining);
@@ -171,9 +171,9 @@
         }
     }
 
-    /// Replaces the process. The old one ends while its successor serves.
+    /// Replaces the process, and waits for the exit of the old one while its successor serves.
     async fn upgrade(&mut self) -> Result<()> {
-        let successor = NodeProcess::start_managed(self.program, &self.place)?;
+        let successor = NodeProcess::start_managed(self.program, &self.workspace)?;
         successor.wait_until_ready().await?;
         let mut old = std::mem::replace(&mut self.process, successor);
         let terminated_at = self.record.now();
@@ -181,8 +181,8 @@
         let time_to_end = self.plan.deadline + KILL_MARGIN;
         let status = timeout(time_to_end, old.wait()).await;
         let status = status.ok().and_then(Result::ok);
-        self.seen.ends.push(ProcessEnd {
-            trouble_at: terminated_at,
+        self.observed.ends.push(ProcessEnd {
+            faults_started_at: terminated_at,
             terminated_at,
             exited_at: status.map(|_| self.record.now()),
             has_crashed: status.is_some_and(has_crashed),
@@ -193,8 +193,8 @@
         Ok(())
     }
 
-    /// Sends a command to the management address of the process that serves.
-    async fn manage(&self, path: &str) -> Result<()> {
+    /// Sends a command to the management address of the current process.
+    async fn call_management(&self, path: &str) -> Result<()> {
         let request = Request::builder()
             .method(Method::POST)
             .uri(path)
@@ -217,12 +217,12 @@
         changed.status = status;
         let now = self.record.now();
         match status {
-            ServerStatus::Draining => self.seen.drains.push(Drain {
+            ServerStatus::Draining => self.observed.drains.push(Drain {
                 announced_at: now,
                 lifted_at: Duration::MAX,
             }),
             _ => {
-                if let Some(drain) = self.seen.drains.last_mut() {
+                if let Some(drain) = self.observed.drains.last_mut() {
                     drain.lifted_at = now;
                 }
             }
--- a/crates/testbed/tests/endings.rs
+++ b/crates/testbed/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Connections that end while a request, a response or pipelined bytes are in flight: the real program over loopback
-//! sockets, with the order of events forced.
+//! Connections that are closed while a request, a response or pipelined bytes are in flight: the real program over loopback
+//! sockets. The tests force the order of the events.
 
 use reelfall_testbed::scripted::{
     connect, get, listener_with_full_backlog, ok_response, read_request, read_response, serve,
@@ -15,7 +15,7 @@
 const MAX_SOCKETS: usize = 256;
 /// Time that the node has to detect that a client has closed its connection.
 const ABORT_DETECTION_TIME: Duration = Duration::from_millis(100);
-/// Idle connections are kept for 4 s if the server rejects none.
+/// Longest time for which an idle connection is kept after a rejection. Without rejections it would be kept for 4 s.
 const MAX_IDLE_AFTER_REJECTION: Duration = Duration::from_secs(3);
 
 fn start_node(server: SocketAddr) -> (Discovery, Node) {
@@ -26,14 +26,14 @@
     (discovery, node)
 }
 
-/// A server that closes its connection instead of a response to the first request, and serves all others.
+/// A server that closes the connection of the first request without a response, and serves all others.
 struct ServerFailingOnce {
     server: Server,
-    /// Passed with the server when the first request has arrived.
+    /// The server waits here when the first request has arrived.
     arrived: Arc<Barrier>,
-    /// Passed with the server to let it close the connection.
+    /// The server waits here before it closes the connection.
     release: Arc<Barrier>,
-    /// The IDs of all requests that have arrived.
+    /// The ids of all requests that have arrived.
     ids: Arc<Mutex<Vec<String>>>,
 }
 
@@ -62,20 +62,20 @@
         }
     }
 
-    /// How many requests with this ID have arrived.
+    /// Number of requests with this id that have arrived.
     fn requests_with_id(&self, id: &str) -> usize {
         let ids = self.ids.lock().unwrap();
         ids.iter().filter(|received| *received == id).count()
     }
 }
 
-/// Sends a request and waits for its response: the node has processed earlier events by then.
+/// Sends a request and waits for its response. By then the node has processed all earlier events.
 fn wait_for_served_request(node: &Node, id: &str) {
     assert_eq!(get(node.address, id).status, 200);
 }
 
 #[test]
-fn client_abort_behind_pipelined_bytes_prevents_retry() {
+fn client_abort_after_pipelined_bytes_prevents_retry() {
     let pipelined_variants = [
         String::new(),
         read_request("next"),
@@ -103,7 +103,7 @@
         assert_eq!(
             failing.requests_with_id("gone"),
             1,
-            "a retry, behind {} pipelined bytes",
+            "retried although the client had disconnected, after {} pipelined bytes",
             pipelined.len()
         );
     }
@@ -128,7 +128,7 @@
             format!("p-{n}").as_bytes()
         );
     }
-    // Each request has its own response, until the connection ends between two of them.
+    // Each request gets its own response, until the connection is closed between two responses.
     let client = connect(node.address);
     let mut writer = client.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
@@ -160,7 +160,7 @@
     drop(client);
     let (filler_peer, _) = listener.accept().unwrap();
     drop((filler, filler_peer));
-    // The node's connection is established now. The first request on it is one that a client waits for.
+    // Now the node's connection is established. The first request on it must be one that a client still waits for.
     let (stream, _) = listener.accept().unwrap();
     let node_address = node.address;
     let waiting_client = std::thread::spawn(move || get(node_address, "wanted"));
@@ -185,27 +185,31 @@
     assert_eq!(
         client.read(&mut buffer).unwrap(),
         0,
-        "the node closes an idle connection"
+        "the node did not close the idle connection"
     );
-    // Sent as by a client that has not seen the close yet.
+    // A client that has not seen the close yet may still send a request.
     client.write_all(read_request("r-2").as_bytes()).unwrap();
     // On loopback a reset would arrive before the write returns.
     assert!(
         client.take_error().unwrap().is_none(),
-        "the connection is reset"
+        "the connection was reset"
+    );
+    assert_eq!(
+        client.read(&mut buffer).unwrap(),
+        0,
+        "the close was not orderly"
     );
-    assert_eq!(client.read(&mut buffer).unwrap(), 0, "the close is orderly");
     drop(client);
     assert!(node.wait());
     assert_eq!(
         server.requests(),
         1,
-        "a request that was read after the close is forwarded"
+        "a request that arrived after the close was forwarded"
     );
 }
 
 #[test]
-fn last_response_is_not_lost_behind_pipelined_bytes() {
+fn last_response_is_not_lost_before_pipelined_bytes() {
     let GatedServer {
         server,
         arrived,
@@ -219,7 +223,7 @@
     let mut writer = client.try_clone().unwrap();
     let pipelined = write_request("a-2", "content-length: 150000", &"x".repeat(150_000));
     let sender = std::thread::spawn(move || drop(writer.write_all(pipelined.as_bytes())));
-    // An idle connection is closed once the node has received the signal.
+    // The close of an idle connection shows that the node has received the signal.
     let idle = connect(node.address);
     assert_eq!(read_response(&idle), None);
     release.wait();
@@ -231,11 +235,11 @@
     );
     assert!(result.is_ok(), "{result:?}");
     sender.join().unwrap();
-    // After the process has exited nothing more is sent on this connection.
+    // No reset can arrive after the exit of the process.
     assert!(node.wait());
     assert!(
         client.take_error().unwrap().is_none(),
-        "the connection is reset"
+        "the connection was reset"
     );
     assert_eq!(server.requests(), 1);
 }
@@ -274,7 +278,7 @@
         client.read_exact(&mut first_bytes).unwrap();
         response_sent.wait();
         let stream = server_stream.lock().unwrap().take();
-        reset(stream.expect("the server's side"));
+        reset(stream.expect("the server's end of the connection"));
         let mut rest = Vec::new();
         let result = client.read_to_end(&mut rest);
         let has_last_chunk = rest.ends_with(b"0\r\n\r\n");
