--- a/crates/testbed/src/commands/fleet.rs
+++ b/crates/testbed/src/commands/fleet.rs
@@ -8,46 +8,47 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A schedule, and what it is played on. Its lines are those of `--write`: `["cut",[0,1],[2],true]`, `["wait",500]`.
+/// A schedule, and the fleet that it is executed on. A schedule file has one step per line, as `--write` writes them:
+/// `["cut",[0,1],[2],true]`, `["wait",500]`.
 #[derive(clap::Args)]
 pub struct ScheduleArgs {
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 5)]
     nodes: usize,
-    /// Servers
+    /// Number of servers
     #[arg(long, default_value_t = 6)]
     servers: usize,
-    /// Zones that nodes and servers are dealt into
+    /// Number of zones, to which nodes and servers are assigned in turn
     #[arg(long, default_value_t = 1)]
     zones: usize,
-    /// List services in place of written servers
+    /// Number of discovery services; with 0, the settings list the servers
     #[arg(long, default_value_t = 0)]
     lists: usize,
-    /// Lines of the part `[fleet]` of each node's settings
+    /// Additional lines of the section `[fleet]` of each node's settings
     #[arg(long, default_value = "")]
     fleet: String,
-    /// For the schedule, the links and the clients
+    /// Seed of the schedule, the network faults and the clients
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// About how long a drawn schedule is
+    /// Approximate duration of a generated schedule, in seconds
     #[arg(long, default_value_t = 15.0)]
     seconds: f64,
-    /// Requests a second at each node
+    /// Requests per second at each node
     #[arg(long, default_value_t = 30.0)]
     rate: f64,
-    /// Share of requests that may not be repeated
+    /// Share of requests that must be executed at most once
     #[arg(long, default_value_t = 0.3)]
     risky: f64,
-    /// A schedule to play in place of a drawn one
+    /// Schedule to execute instead of a generated one
     #[arg(long, value_name = "FILE")]
     schedule: Option<PathBuf>,
-    /// Where to write the schedule; after `--shorten`, the shortened one
+    /// Where to write the schedule; with `--shorten`, the shortened one
     #[arg(long, value_name = "FILE")]
     write: Option<PathBuf>,
-    /// Where to write all that happened
+    /// Where to write the history of all events
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
-    /// If a rule breaks, look for a shorter schedule that breaks one, by so many plays at most
+    /// After a violation, search for a shorter schedule that violates an invariant, in at most this number of runs
     #[arg(long, default_value_t = 0, value_name = "PLAYS")]
     shorten: usize,
 }
@@ -98,7 +99,7 @@
     if !outcome.violations.is_empty() && args.shorten > 0 {
         let minimized = schedule_run.minimize(program, &steps, args.shorten).await;
         eprintln!(
-            "{} steps in place of {}, after {} plays",
+            "shortened to {} steps of {}, after {} runs",
             minimized.steps.len(),
             steps.len(),
             minimized.trials
--- a/crates/testbed/src/fleet/datagrams.rs
+++ b/crates/testbed/src/fleet/datagrams.rs
@@ -1,7 +1,7 @@
-//! The network between the nodes of a fleet, for datagrams, with faults.
+//! The datagram network between the nodes of a fleet, with injected faults.
 //!
-//! There is a socket for each node, and the nodes know each other by the addresses of these sockets. A datagram that
-//! arrives at one is attributed to a node by its sender's address, and forwarded or dropped by the faults of that pair.
+//! The network has a socket for each node, and the nodes know each other by the addresses of these sockets. The sender of
+//! a datagram is identified by its source address; the faults of the pair of nodes decide whether it is forwarded or dropped.
 //! [`TestFleet`](super::TestFleet) owns it; tests and schedules inject the faults.
 
 use crate::{AbortOnDrop, Result, SeededRng};
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Forwarded datagrams that are retained for a replay.
+/// Maximum number of forwarded datagrams that are retained for a replay.
 const REPLAY_BUFFER_LEN: usize = 512;
-/// Longest datagram that is forwarded whole, in bytes: the longest of UDP.
+/// Longest datagram that is forwarded without truncation, in bytes: the maximum of UDP.
 const RECEIVE_BUFFER_BYTES: usize = 64 << 10;
-/// Length of a forged datagram when there is none to alter, in bytes.
+/// Length of a forged datagram if there is no recent one to alter, in bytes.
 const FORGED_DATAGRAM_BYTES: usize = 200;
-/// The bit of a byte that corruption flips.
+/// Mask of the bit that corruption flips in one byte of a datagram.
 const CORRUPTED_BIT: u8 = 0x20;
 
-/// What the network does to all datagrams.
+/// Faults that apply to all datagrams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
     /// Share of datagrams that are lost.
@@ -29,13 +29,13 @@
     pub duplicate_ratio: f64,
     /// Share of datagrams of which a byte is changed.
     pub corruption_ratio: f64,
-    /// Shortest delay. Datagrams overtake each other within the range of delays.
+    /// Shortest delay. Delays are random, so datagrams may be reordered.
     pub min_delay: Duration,
     /// Longest delay.
     pub max_delay: Duration,
 }
 
-/// A pair of nodes, in the direction of datagrams.
+/// An ordered pair of nodes: sender and receiver.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Direction {
     from: usize,
@@ -50,14 +50,14 @@
 
 struct State {
     faults: DatagramFaults,
-    /// Directions in which nothing is delivered.
+    /// Directions in which all datagrams are dropped.
     partitioned: BTreeSet<Direction>,
     random: SeededRng,
-    /// Nodes by the addresses that their processes send from.
+    /// Nodes by the source address of their datagrams.
     node_by_address: HashMap<SocketAddr, usize>,
-    /// Address of each node's process.
+    /// Address that each node's process listens on; `None` before its first start.
     process_addresses: Vec<Option<SocketAddr>>,
-    /// The last datagrams that were forwarded.
+    /// Recently forwarded datagrams.
     replay_buffer: Vec<ForwardedDatagram>,
     forwarded: u64,
 }
@@ -75,7 +75,7 @@
 }
 
 impl DatagramNetwork {
-    /// Opens a network of so many nodes, without faults.
+    /// Opens a network for `node_count` nodes, without faults.
     ///
     /// # Errors
     /// Fails if the system has no port left.
@@ -113,29 +113,29 @@
         self.addresses.len()
     }
 
-    /// Where other nodes send what is for a node.
+    /// The address to which other nodes send datagrams for a node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
-    /// Sets the address from which a node's process sends, and where it receives.
+    /// Sets the address at which a node's process sends and receives datagrams.
     pub fn set_process_address(&self, node: usize, address: SocketAddr) {
         let mut state = lock(&self.state);
         state.node_by_address.insert(address, node);
         state.process_addresses[node] = Some(address);
     }
 
-    /// Changes the faults of all directions.
+    /// Changes the faults that apply to all datagrams.
     pub fn update_faults(&self, change: impl FnOnce(&mut DatagramFaults)) {
         change(&mut lock(&self.state).faults);
     }
 
-    /// Seeds the random numbers that faults are sampled with.
+    /// Seeds the random number generator of the faults.
     pub fn set_seed(&self, seed: u64) {
         lock(&self.state).random = SeededRng(seed);
     }
 
-    /// Drops everything from some nodes to others, and also back if `both_directions` is set.
+    /// Drops all datagrams from some nodes to others and, with `both_directions`, also those in the other direction.
     pub fn partition(&self, from: &[usize], to: &[usize], both_directions: bool) {
         let mut state = lock(&self.state);
         for &from in from {
@@ -159,7 +159,7 @@
         lock(&self.state).forwarded
     }
 
-    /// Replays the last datagrams to a node, and sends it so many forged ones.
+    /// Replays recent datagrams to a node, then sends it `forged_count` forged ones.
     pub async fn flood(&self, node: usize, forged_count: usize) {
         let (recent, address) = {
             let state = lock(&self.state);
@@ -178,7 +178,7 @@
     }
 }
 
-/// A datagram that no node wrote: a recent one of which a byte is changed.
+/// Forges a datagram: a recent one with one byte changed.
 fn forge(recent: &[ForwardedDatagram], index: usize, random: &mut SeededRng) -> Vec<u8> {
     let template = recent.get(index % recent.len().max(1));
     let mut bytes = template.map_or_else(
@@ -192,15 +192,15 @@
     bytes
 }
 
-/// What happens to a datagram that is forwarded.
+/// How a datagram is forwarded.
 struct Delivery {
     address: SocketAddr,
-    /// One for each copy.
+    /// The delay of each copy.
     delays: Vec<Duration>,
 }
 
 impl State {
-    /// Samples the faults of a datagram; `None` if it is dropped.
+    /// Applies random faults to a datagram; returns `None` if it is dropped.
     fn deliver(&mut self, sender: SocketAddr, to: usize, datagram: &mut [u8]) -> Option<Delivery> {
         let from = *self.node_by_address.get(&sender)?;
         let address = self.process_addresses[to]?;
@@ -236,11 +236,11 @@
     }
 }
 
-/// Forwards what arrives at a node's socket, for as long as the network is open.
+/// Forwards all datagrams that arrive at a node's socket, until the task is aborted.
 async fn forward_all(node: usize, socket: Arc<UdpSocket>, state: Arc<Mutex<State>>) {
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
-        // A datagram that could not be delivered is reported here, too; that ends nothing.
+        // The system reports an earlier datagram that could not be delivered as an error here. It is ignored.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
--- a/crates/testbed/src/fleet/error.rs
+++ b/crates/testbed/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet does not do what a test expects.
+//! Errors of fleets in tests.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A node rejected the request of an operator.
-    #[error("{status}: {body}")]
+    #[error("the node rejected the request: {status}: {body}")]
     Rejected {
         /// Status code of the response.
         status: u16,
@@ -14,20 +14,20 @@
         body: String,
     },
     /// A node has no management address.
-    #[error("no management address")]
+    #[error("the node has no management address")]
     MissingManagement,
     /// A condition did not hold in time.
-    #[error("{condition}: not within {timeout:?}\n{tail}")]
+    #[error("{condition}: the condition did not hold within {timeout:?}\n{tail}")]
     ConditionTimeout {
-        /// What was awaited.
+        /// Description of the condition.
         condition: String,
-        /// How long.
+        /// Time for which it was awaited.
         timeout: Duration,
         /// The last events of the history.
         tail: String,
     },
     /// An event did not happen in time.
-    #[error("it does not happen\n{tail}")]
+    #[error("the expected event did not happen\n{tail}")]
     EventTimeout {
         /// The last events of the history.
         tail: String,
--- a/crates/testbed/src/fleet/fenced_resource.rs
+++ b/crates/testbed/src/fleet/fenced_resource.rs
@@ -1,6 +1,6 @@
-//! A resource that holders of leases write to. It admits the highest token of each lease seen so far, and rejects lower ones.
+//! A resource that holders of leases write to. For each lease it rejects fencing tokens lower than the highest one so far.
 //!
-//! Tests of leases start one, and check the writes in the history.
+//! Tests of leases start one and check the writes in the history.
 
 use super::history::{Event, History, TimedEvent};
 use crate::{spawn, AbortOnDrop, Result};
@@ -23,12 +23,12 @@
 
 /// An HTTP server that checks fencing tokens. It stops when this is dropped.
 pub struct FencedResource {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     _task: AbortOnDrop,
 }
 
-/// What the connections of a resource share.
+/// State that the connections of a resource share.
 struct Shared {
     fence: Mutex<Fence>,
     history: Arc<History>,
@@ -46,14 +46,14 @@
             fence: Mutex::new(Fence::new(FENCE_CAPACITY)),
             history,
         });
-        let accepting = spawn(async move {
+        let accept_task = spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, shared.clone()));
             }
         });
         Ok(FencedResource {
             address,
-            _task: accepting,
+            _task: accept_task,
         })
     }
 }
@@ -78,7 +78,7 @@
         else {
             return StatusCode::BAD_REQUEST;
         };
-        // Locked until the write is recorded, so that the history has the order of the admitted writes.
+        // Locked until the write is recorded, so that the history has the admitted writes in their order.
         let mut fence = self.fence.lock().unwrap_or_else(PoisonError::into_inner);
         let admitted = fence.admit(&claim).is_ok();
         self.history.record(Event::LeaseWrite {
@@ -117,7 +117,7 @@
     pub holder: String,
 }
 
-/// The writes by holders of a lease that were admitted.
+/// The admitted writes by holders of a lease.
 pub fn admitted_writes(events: &[TimedEvent], lease: &str) -> Vec<AdmittedWrite> {
     let admitted = |entry: &TimedEvent| match &entry.event {
         Event::LeaseWrite {
@@ -135,7 +135,7 @@
     events.iter().filter_map(admitted).collect()
 }
 
-/// Number of writes that were rejected, as a later holder had written.
+/// Number of writes that were rejected because a later holder had written before.
 pub fn rejected_writes(events: &[TimedEvent]) -> usize {
     let is_rejected = |entry: &&TimedEvent| {
         matches!(
@@ -149,7 +149,7 @@
     events.iter().filter(is_rejected).count()
 }
 
-/// Violations of fencing by the admitted writes of a lease: a lower token after a higher one, or one token with two holders.
+/// Fencing violations among the admitted writes of a lease: a lower token after a higher one, or one token with two holders.
 pub fn fencing_violations(events: &[TimedEvent], lease: &str) -> Vec<String> {
     let writes = admitted_writes(events, lease);
     let pairs = || writes.windows(2).map(|pair| (&pair[0], &pair[1]));
@@ -159,7 +159,7 @@
     let shared_tokens = pairs()
         .filter(|(earlier, later)| earlier.token == later.token && earlier.holder != later.holder)
         .map(|(earlier, later)| {
-            format!("{lease}: one token of two holders: [{earlier:?}, {later:?}]")
+            format!("{lease}: two holders have the same token: [{earlier:?}, {later:?}]")
         });
     lower_tokens.chain(shared_tokens).collect()
 }
--- a/crates/testbed/src/fleet/history/event.rs
+++ b/crates/testbed/src/fleet/history/event.rs
@@ -1,4 +1,4 @@
-//! What the history records, and its text form.
+//! The events of a history, and their text form.
 
 use std::fmt;
 use std::time::Duration;
@@ -52,7 +52,7 @@
         /// The request must run at most once.
         at_most_once: bool,
     },
-    /// A client has the response, or its connection broke.
+    /// A client has received the response, or its connection broke.
     ResponseReceived {
         /// The node that the request was sent to.
         node: usize,
@@ -67,7 +67,7 @@
         node: usize,
         /// The request's id.
         id: String,
-        /// What the client has seen, and how the connection was used before.
+        /// The client's error, and how the connection was used before.
         error: String,
     },
     /// A server receives an attempt at a request.
@@ -115,7 +115,7 @@
     ScheduleStep(String),
 }
 
-/// The text form in files and reports, by the names of their format.
+/// Formats the event for files and reports, with the names of that format.
 impl fmt::Display for Event {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -222,7 +222,7 @@
         fields.finish()
     }
 
-    /// The request that the event concerns, if it concerns one.
+    /// The id of the request that the event concerns, if it concerns one.
     pub fn request_id(&self) -> Option<&str> {
         match self {
             Event::RequestSent { id, .. }
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Whether the event is of the usual course of one request; these are by far the most.
+    /// Whether the event belongs to the usual course of a request, as most events do.
     pub(super) fn is_request_traffic(&self) -> bool {
         self.request_id().is_some() && !matches!(self, Event::RequestFailed { .. })
     }
--- a/crates/testbed/src/fleet/history/mod.rs
+++ b/crates/testbed/src/fleet/history/mod.rs
@@ -1,4 +1,4 @@
-//! The history of a fleet: all events by one clock.
+//! The history of a fleet: all events, by a single clock.
 //!
 //! The clients, the servers and the fleet itself record events; [`invariants`](super::invariants),
 //! [`queries`](super::queries) and the tests read them.
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Lines of the history in the error of a wait that timed out.
+/// Number of lines of the history in the error of a wait that timed out.
 pub(super) const ERROR_CONTEXT_LINES: usize = 40;
 
 /// Events in the order of their times. All writers share one.
@@ -26,7 +26,7 @@
 }
 
 impl History {
-    /// An empty history, whose clock starts now.
+    /// Creates an empty history, whose clock starts now.
     pub fn start() -> History {
         History {
             started: Instant::now(),
@@ -39,7 +39,7 @@
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Appends an event that happens now. Times never decrease.
+    /// Appends an event with the current time. The times of events never decrease.
     pub fn record(&self, event: Event) {
         let mut events = self.lock();
         let at = self.started.elapsed();
@@ -68,7 +68,7 @@
         self.started.elapsed()
     }
 
-    /// Waits for an event at the index `from` or later, and returns its time.
+    /// Waits for a wanted event at the index `from` or later, and returns its time.
     ///
     /// # Errors
     /// Fails if there is none within [`WAIT_TIMEOUT`].
@@ -101,7 +101,7 @@
         })
     }
 
-    /// The last events as text, without those of requests.
+    /// Formats the last events without the usual ones of requests, at most `count` lines.
     pub fn tail(&self, count: usize) -> String {
         let events = self.lock();
         let is_shown = |entry: &&TimedEvent| !entry.event.is_request_traffic();
@@ -115,7 +115,7 @@
         text
     }
 
-    /// All events as text, one line each, for a file.
+    /// Formats all events for a file, one line each.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         for TimedEvent { at, event } in self.events() {
--- a/crates/testbed/src/fleet/invariants.rs
+++ b/crates/testbed/src/fleet/invariants.rs
@@ -1,21 +1,21 @@
 //! The invariants of a fleet, checked on its history.
 //!
-//! They follow from what clients and servers saw alone: what a node logs about itself does not count. Tests, the scenario
-//! `fleet` and the command `fleet` call [`violations`].
+//! The checks use what clients and servers observed, and not what nodes log. Tests, the scenario `fleet` and the command
+//! `fleet` call [`violations`].
 
 use super::history::{Event, TimedEvent};
 use super::DEADLINE;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// How long a ban or a verdict may take to reach all nodes.
+/// Longest time for a ban or a verdict to reach all nodes.
 pub const PROPAGATION_TIME: Duration = Duration::from_secs(1);
-/// For how long a node may still send to a server after it has received its ban.
+/// How long a node may still send attempts to a server after it has received the server's ban.
 pub const BAN_GRACE: Duration = Duration::from_millis(500);
-/// How much later a busy machine may deliver a response, or act on a time-out.
+/// Additional time in which a busy machine may deliver a response or handle a timeout.
 pub const SCHEDULING_SLACK: Duration = Duration::from_millis(400);
 
-/// An invariant that was violated.
+/// How an invariant was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationKind {
     /// A request had no response.
@@ -31,13 +31,13 @@
 /// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The invariant.
+    /// How an invariant was violated.
     pub kind: ViolationKind,
     /// When the request was sent.
     pub from: Duration,
-    /// When the violation was seen.
+    /// When the violation was observed.
     pub at: Duration,
-    /// What was seen.
+    /// Description of the violation.
     pub text: String,
 }
 
@@ -75,7 +75,10 @@
             kind: ViolationKind::SecondEffect,
             from: times.first().copied().unwrap_or_default(),
             at: times.last().copied().unwrap_or_default(),
-            text: format!("rule 2: {id} had its effect {} times", times.len()),
+            text: format!(
+                "at-most-once request {id} was executed {} times",
+                times.len()
+            ),
         })
         .collect()
 }
@@ -105,7 +108,7 @@
             kind: ViolationKind::EffectOfRejected,
             from: at,
             at,
-            text: format!("rule 2: {id} was refused with {status}, and ran"),
+            text: format!("at-most-once request {id} was rejected with {status}, but executed"),
         })
         .collect()
 }
@@ -128,8 +131,8 @@
     sent_at: Duration,
 }
 
-/// Every request that a running node received has one response in time. A node that was killed or paused meanwhile is
-/// excused.
+/// Every request that a running node received gets one response in time. Requests at a node that was killed, terminated or
+/// paused meanwhile are not checked.
 fn unanswered_requests(events: &[TimedEvent]) -> Vec<Violation> {
     let outages = outages(events);
     let mut pending: HashMap<&str, PendingRequest> = HashMap::new();
@@ -150,7 +153,7 @@
                 if !was_down(&outages, &request, *at) {
                     let mut violation = response_violation(id, &request, *at, *status);
                     if let Some(violation) = &mut violation {
-                        violation.text += &stations(events, id);
+                        violation.text += &request_events(events, id);
                     }
                     violations.extend(violation);
                 }
@@ -170,10 +173,10 @@
     let sent_at = request.sent_at;
     let response_time = received_at - sent_at;
     let (kind, text) = if status.is_none() {
-        let text = format!("rule 1: {id} was taken at {sent_at:?} and never answered");
+        let text = format!("request {id}, sent at {sent_at:?}, got no response");
         (ViolationKind::NoResponse, text)
     } else if response_time > DEADLINE + SCHEDULING_SLACK {
-        let text = format!("rule 1: {id} was answered after {response_time:?}");
+        let text = format!("request {id} got its response after {response_time:?}");
         (ViolationKind::LateResponse, text)
     } else {
         return None;
@@ -186,8 +189,8 @@
     })
 }
 
-/// The events of one request, so that a violation says how far it came.
-fn stations(events: &[TimedEvent], id: &str) -> String {
+/// Formats the events of one request, which show how far it was processed.
+fn request_events(events: &[TimedEvent], id: &str) -> String {
     let of_request = events
         .iter()
         .filter(|entry| entry.event.request_id() == Some(id));
@@ -196,13 +199,13 @@
         .collect()
 }
 
-/// A time in which a node could not answer.
+/// A time in which a node could not respond.
 struct Outage {
     from: Duration,
     to: Duration,
 }
 
-/// Whether an outage of the node overlaps the time of a request.
+/// Whether an outage of the request's node overlaps the time from the request to its response.
 fn was_down(
     outages: &BTreeMap<usize, Vec<Outage>>,
     request: &PendingRequest,
--- a/crates/testbed/src/fleet/load.rs
+++ b/crates/testbed/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Clients of the nodes of a fleet. They send requests at random times and record them in the history.
+//! Clients of the nodes of a fleet: they send requests at random times and record them in the history.
 
 use super::history::{Event, History};
 use super::{node_name, TestFleet};
@@ -17,10 +17,10 @@
 pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
 /// The deadline of requests.
 pub const DEADLINE: Duration = Duration::from_secs(2);
-/// How much longer than the deadline a client waits, so that a late response is seen as late and not as missing.
+/// How much longer than the deadline a client waits, so that a late response is recorded as late and not as missing.
 const CLIENT_TIMEOUT_MARGIN: Duration = Duration::from_secs(40);
 
-/// The address of each node for clients; it changes when a process is started again.
+/// The client address of each node, which changes when its process is restarted; `None` without a process.
 pub(super) type Addresses = Arc<Mutex<Vec<Option<SocketAddr>>>>;
 
 /// Clients that are running. They stop when this is dropped.
@@ -46,13 +46,14 @@
 }
 
 impl TestFleet {
-    /// Starts clients that send so many requests a second to each node, a share of which must run at most once.
+    /// Starts clients that send `rate` requests per second to each node. The share `at_most_once_ratio` of them must be
+    /// executed at most once.
     pub fn start_load(&self, rate: f64, at_most_once_ratio: f64, seed: u64) -> Load {
         let nodes: Vec<usize> = (0..self.node_count()).collect();
         self.start_load_at(&nodes, rate, at_most_once_ratio, seed)
     }
 
-    /// The same for some of the nodes.
+    /// Like [`TestFleet::start_load`], for some of the nodes.
     pub fn start_load_at(
         &self,
         nodes: &[usize],
@@ -81,7 +82,7 @@
     }
 }
 
-/// A client, and the address that it is connected to.
+/// A client with the address that it connects to.
 struct ConnectedClient {
     address: SocketAddr,
     client: Arc<Client>,
@@ -91,7 +92,7 @@
 struct NodeClients {
     node: usize,
     addresses: Addresses,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     at_most_once_ratio: f64,
     random: SeededRng,
@@ -112,7 +113,7 @@
                 break;
             }
             while in_flight.try_join_next().is_some() {}
-            // Nothing is sent to a node without a process.
+            // No request is sent to a node without a process.
             let Some(client) = self.current_client() else {
                 continue;
             };
--- a/crates/testbed/src/fleet/minimize.rs
+++ b/crates/testbed/src/fleet/minimize.rs
@@ -7,15 +7,15 @@
 /// A minimized schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Minimized<S> {
-    /// The steps that are left. They failed in the last trial that did, or are all steps.
+    /// The remaining steps: those of the last trial that failed, or all steps if none did.
     pub steps: Vec<S>,
     /// Number of trials made.
     pub trials: usize,
 }
 
-/// Removes ever smaller parts of a schedule, as long as what is left still `fails`, in at most `trial_limit` trials.
+/// Removes parts of decreasing size from a schedule while the rest still `fails`, in at most `trial_limit` trials.
 ///
-/// Source: Zeller, Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002: ddmin, complements alone.
+/// Source: Zeller, Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002: ddmin, testing complements only.
 pub async fn minimize<S: Clone, F: Future<Output = bool>>(
     steps: &[S],
     trial_limit: usize,
--- a/crates/testbed/src/fleet/minimize/tests.rs
+++ b/crates/testbed/src/fleet/minimize/tests.rs
@@ -1,23 +1,25 @@
-//! Minimal failing schedules.
+//! Minimization of schedules.
 
 use super::*;
 
 #[tokio::test]
-async fn only_what_breaks_is_left() {
+async fn only_steps_that_cause_the_failure_remain() {
     let steps: Vec<u32> = (0..100).collect();
-    let needs = |of: &'static [u32]| {
-        move |s: Vec<u32>| std::future::ready(of.iter().all(|n| s.contains(n)))
+    let fails_with = |causes: &'static [u32]| {
+        move |s: Vec<u32>| std::future::ready(causes.iter().all(|n| s.contains(n)))
     };
-    assert_eq!(minimize(&steps, 1000, needs(&[17])).await.steps, [17]);
-    let minimized = minimize(&steps, 1000, needs(&[3, 50, 97])).await;
-    let (left, tried) = (minimized.steps, minimized.trials);
-    assert_eq!(left, [3, 50, 97]);
-    assert!(tried < 200, "{tried} trials");
-    // Within few trials it is as short as it could be made, and breaks still.
-    let minimized = minimize(&steps, 5, needs(&[3, 50, 97])).await;
-    let (left, tried) = (minimized.steps, minimized.trials);
-    assert!(tried == 5 && left.len() <= 100 && [3, 50, 97].iter().all(|n| left.contains(n)));
-    // What never breaks stays whole; order is kept.
+    assert_eq!(minimize(&steps, 1000, fails_with(&[17])).await.steps, [17]);
+    let minimized = minimize(&steps, 1000, fails_with(&[3, 50, 97])).await;
+    let (remaining, trials) = (minimized.steps, minimized.trials);
+    assert_eq!(remaining, [3, 50, 97]);
+    assert!(trials < 200, "{trials} trials");
+    // With few trials the result may be longer, but it still fails.
+    let minimized = minimize(&steps, 5, fails_with(&[3, 50, 97])).await;
+    let (remaining, trials) = (minimized.steps, minimized.trials);
+    assert!(
+        trials == 5 && remaining.len() <= 100 && [3, 50, 97].iter().all(|n| remaining.contains(n))
+    );
+    // A schedule that never fails stays as it is.
     assert_eq!(
         minimize(&steps, 1000, |_| std::future::ready(false))
             .await
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,27 +1,28 @@
-//! A fleet of real nodes with stand-in servers, and faults between them.
+//! A fleet of real nodes with stand-in servers and injected faults.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`datagrams`] | the network between the nodes, with faults |
-//! | [`history`] | all events, by one clock |
-//! | [`invariants`] | what has to hold in every history |
+//! | [`datagrams`] | the datagram network between the nodes, with faults |
+//! | [`history`] | all events, by a single clock |
+//! | [`invariants`] | invariants that are checked on a history |
 //! | [`queries`] | attempts and served requests of a history |
 //! | [`verdict_stats`] | how long nodes acted on verdicts, and against which servers |
 //! | [`schedule`] | faults and commands: generated from a seed, written to a file, executed |
 //! | [`schedule_run`] | one run of a schedule on a fleet, and its outcome |
 //! | [`minimize`] | minimal schedules that violate an invariant |
-//! | [`fenced_resource`] | what holders of leases write to |
+//! | [`fenced_resource`] | a resource that holders of leases write to |
 //! | [`probers`] | names under which nodes do not probe an ejected server |
-//! | `spec` | what a fleet consists of |
+//! | `spec` | size and settings of a fleet |
 //! | `node_settings` | the settings files of the nodes |
 //! | `start` | start of a whole fleet |
-//! | `processes` | the processes of the nodes: start, pause, end |
+//! | `processes` | the processes of the nodes: start, pause, termination |
 //! | `operators` | requests to the management addresses of the nodes |
 //! | `load` | clients of the nodes |
-//! | `error` | why a fleet does not do what a test expects |
+//! | `error` | errors of fleets |
 //!
-//! Each node is a process of the program with a settings file. What it sends to another node passes through the
-//! [`DatagramNetwork`], and it reaches each server by a [`Link`] of its own. Tests, scenarios and measurements start fleets.
+//! Each node is a process of the program with a settings file. Its datagrams to other nodes pass through the
+//! [`DatagramNetwork`], and it connects to each server through a [`Link`] of its own. Tests, scenarios and measurements
+//! start fleets.
 
 pub mod datagrams;
 mod error;
@@ -59,7 +60,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Interval at which a condition is checked again.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A node of a fleet, with or without a process.
@@ -111,7 +112,7 @@
         &self.nodes[node].server_links[server]
     }
 
-    /// Waits until a condition holds, and returns how long that took. `description` names the condition in the error.
+    /// Waits until a condition holds, and returns the time that this took. The error message contains `description`.
     ///
     /// # Errors
     /// Fails if it does not hold within [`WAIT_TIMEOUT`].
--- a/crates/testbed/src/fleet/node_settings.rs
+++ b/crates/testbed/src/fleet/node_settings.rs
@@ -1,19 +1,19 @@
-//! The settings files of a fleet's nodes. [`TestFleet`](super::TestFleet) writes them at its start.
+//! The settings files of the nodes, which [`TestFleet`](super::TestFleet) generates at its start.
 
 use super::datagrams::DatagramNetwork;
 use super::{node_name, server_name, FleetSpec, LATENCY_OBJECTIVE};
 use crate::link::Link;
 use std::path::{Path, PathBuf};
 
-/// Number of nodes that all nodes use as seeds.
+/// All nodes use this number of nodes, the first ones, as seeds.
 const SEED_NODES: usize = 3;
 
-/// The folder that a node's process finds again after a restart, beside the others of the fleet.
+/// The data folder of a node, which survives its process.
 pub(super) fn node_folder(parent: &Path, node: usize) -> PathBuf {
     parent.join(format!("folder-{node}"))
 }
 
-/// The sections `[management]` and `[fleet]` of a node, with `extra` lines in the latter.
+/// The sections `[management]` and `[fleet]` of a node's settings, with the lines `extra` in the latter.
 pub(super) fn fleet_section(
     node: usize,
     spec: &FleetSpec,
@@ -52,7 +52,7 @@
     zone(index, spec).map_or(String::new(), |zone| format!("zone = \"{zone}\"\n"))
 }
 
-/// The list of servers in a node's settings, each with the address of the node's own link to it.
+/// The list of servers in a node's settings, with the addresses of the node's own links to them.
 pub(super) fn server_list(spec: &FleetSpec, links: &[Link]) -> String {
     let entry = |(server, link): (usize, &Link)| {
         let name = server_name(server);
@@ -65,7 +65,7 @@
     links.iter().enumerate().map(entry).collect()
 }
 
-/// Where a node takes its servers from, as lines of a service's section.
+/// Where a node gets its servers from, as lines of a service's section.
 pub(super) enum ServerSource {
     /// A line that names the discovery service.
     Discovery(String),
@@ -73,7 +73,7 @@
     List(String),
 }
 
-/// The settings of a node, with its sections of the fleet.
+/// The settings file of a node, with `fleet_section` for the sections of the fleet.
 pub(super) fn node_settings(
     node: usize,
     spec: &FleetSpec,
--- a/crates/testbed/src/fleet/operators.rs
+++ b/crates/testbed/src/fleet/operators.rs
@@ -10,7 +10,7 @@
 use hyper::Request;
 use std::time::Duration;
 
-/// How long a node may take to respond to an operator.
+/// Longest time for the response of a management address.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The response of a node to an operator.
@@ -40,7 +40,7 @@
     /// Sends a request to the management address of a node.
     ///
     /// # Errors
-    /// Fails if there is no response within two seconds.
+    /// Fails if the node has no management address or does not respond within two seconds.
     pub async fn call_management(
         &self,
         node: usize,
@@ -61,7 +61,8 @@
         })
     }
 
-    /// Bans a server by way of a node, for some seconds or as long as possible. Recorded when the node has accepted it.
+    /// Bans a server through a node, for some seconds or as long as possible. Recorded in the history once the node has
+    /// accepted the ban.
     ///
     /// # Errors
     /// Fails if the node rejects it.
@@ -78,7 +79,7 @@
         Ok(())
     }
 
-    /// Lifts the ban of a server by way of a node.
+    /// Lifts the ban of a server through a node. Recorded in the history before the request is sent.
     ///
     /// # Errors
     /// Fails if the node rejects it.
@@ -89,7 +90,7 @@
         response.into_result()
     }
 
-    /// Whether each running node knows exactly the running nodes as members.
+    /// Whether each running node lists as many members as there are running nodes.
     pub async fn is_converged(&self) -> bool {
         let running = self.running_nodes();
         for node in &running {
--- a/crates/testbed/src/fleet/probers.rs
+++ b/crates/testbed/src/fleet/probers.rs
@@ -1,7 +1,7 @@
 //! Names under which nodes do not probe an ejected server.
 //!
-//! Which nodes probe a server follows from their names, the server's name and the turn. Tests of nodes that do not probe
-//! choose the names with [`names_that_never_probe`]; otherwise the default names would decide what is tested.
+//! Which nodes probe a server depends on their names, the server's name and the turn. Tests that need nodes which do not
+//! probe choose the names with [`names_that_never_probe`], since some of the default names probe.
 
 use super::{node_name, server_name};
 use reelfall_cluster::entry::ServerInstance;
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Turns since the start of a node in which it does not probe under a chosen name.
+/// Number of turns since the start of a node in which it does not probe under a chosen name.
 const TURNS_WITHOUT_PROBE: u64 = 2;
 
-/// Names for these nodes under which none of them probes any of these servers in its first two turns, also while it
-/// considers less than half of the other nodes dead.
+/// Returns names for these nodes under which none of them probes any of these servers in its first two turns, whether it
+/// considers all nodes alive or only a majority of them.
 pub fn names_that_never_probe(
     node_count: usize,
     nodes: &[usize],
@@ -36,7 +36,7 @@
     nodes.iter().map(|node| (*node, name_of(*node))).collect()
 }
 
-/// Whether a node probes any of the servers, with any of these numbers of live nodes.
+/// Whether a node of this name probes any of the servers with any of these numbers of live nodes.
 fn probes_any(node: &str, live_nodes: &RangeInclusive<usize>, servers: &[ServerInstance]) -> bool {
     let probes = |server: &ServerInstance, turn| {
         live_nodes
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet's nodes: start, pause, termination, and where they listen.
+//! The processes of a fleet's nodes: start, pause, termination, and the addresses that they listen on.
 
 use super::history::Event;
 use super::node_settings::node_folder;
@@ -16,7 +16,7 @@
     management: Option<SocketAddr>,
     pid: u32,
     is_paused: bool,
-    /// Owns the process, and records the lines of its log.
+    /// Task that owns the process and records the lines of its log.
     _log_reader: AbortOnDrop,
 }
 
@@ -38,7 +38,7 @@
             while let Some(line) = process.next_log_line().await {
                 history.record(Event::Logged { node, line });
             }
-            // Owned until its end and waited for, so that no process is left behind.
+            // Waits for the exit, so that no process outlives the fleet.
             let _ = process.wait_for_exit().await;
             history.record(Event::Exited { node });
         });
@@ -67,7 +67,7 @@
         self.nodes[node].process.as_ref()
     }
 
-    /// Where clients connect to a node, if it has a process.
+    /// The address at which clients connect to a node, if it has a process.
     pub fn address(&self, node: usize) -> Option<SocketAddr> {
         self.process(node).map(|process| process.address)
     }
@@ -82,7 +82,7 @@
         self.process(node).map(|process| process.pid)
     }
 
-    /// The folder of a node, which survives its process.
+    /// The data folder of a node, which survives its process.
     pub fn folder(&self, node: usize) -> PathBuf {
         node_folder(self.folder.path(), node)
     }
@@ -98,7 +98,7 @@
 
     fn send_signal(&self, node: usize, signal: &str) {
         if let Some(process) = self.process(node) {
-            // A process that has ended does not need it.
+            // The process may have exited already, so a failure is ignored.
             let _ = Command::new("kill")
                 .args(["-s", signal, &process.pid.to_string()])
                 .status();
--- a/crates/testbed/src/fleet/queries.rs
+++ b/crates/testbed/src/fleet/queries.rs
@@ -1,4 +1,4 @@
-//! Questions to the history of a fleet: attempts at a server, and the share of requests that were served.
+//! Queries of the history of a fleet: attempts at a server, and the share of requests that were served.
 
 use super::history::{Event, TimedEvent};
 use super::{node_name, DEADLINE};
@@ -28,7 +28,7 @@
         .filter(|entry| entry.at >= from && entry.at <= to);
     let attempts = in_time.filter_map(|entry| match &entry.event {
         Event::AttemptReceived { server: by, id }
-            if *by == server && names.iter().any(|name| name == sender(id)) =>
+            if *by == server && names.iter().any(|name| name == node_of(id)) =>
         {
             Some(Attempt {
                 at: entry.at,
@@ -40,14 +40,14 @@
     attempts.collect()
 }
 
-/// Name of the node that a request was sent to: the first part of the request's id.
-fn sender(request_id: &str) -> &str {
+/// Name of the node that handled a request: the first part of the request's id.
+fn node_of(request_id: &str) -> &str {
     request_id
         .split_once('-')
         .map_or(request_id, |(node, _)| node)
 }
 
-/// How many of the requests of an interval were served.
+/// The share of the requests of an interval that were served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedRatio {
     /// Share of the requests that were answered 200 within [`DEADLINE`].
@@ -56,7 +56,7 @@
     pub requests: usize,
 }
 
-/// The share served of the requests sent from a time up to another one.
+/// The share of the requests sent in `from..to` that were served.
 pub fn served_ratio(events: &[TimedEvent], from: Duration, to: Duration) -> ServedRatio {
     let mut sent: HashMap<&str, Duration> = HashMap::new();
     let (mut served, mut requests) = (0, 0);
--- a/crates/testbed/src/fleet/schedule/execute.rs
+++ b/crates/testbed/src/fleet/schedule/execute.rs
@@ -5,7 +5,8 @@
 use crate::fleet::TestFleet;
 use crate::Result;
 
-/// Executes a schedule. Steps for nodes that have no process are skipped, so that any part of a schedule can be executed.
+/// Executes a schedule. Steps that do not apply to the state of a node are skipped, so that any part of a schedule can be
+/// executed.
 ///
 /// # Errors
 /// Fails if a process does not start or does not terminate.
@@ -48,7 +49,7 @@
         Step::SetServerFailures { server, ratio } => {
             fleet.servers[*server].update_behavior(|behavior| behavior.error_ratio = *ratio);
         }
-        // A node under faults may not respond; what it accepted is in the history.
+        // A node under faults may not respond. The history contains the accepted bans.
         Step::BanServer {
             node,
             server,
--- a/crates/testbed/src/fleet/schedule/generate.rs
+++ b/crates/testbed/src/fleet/schedule/generate.rs
@@ -4,7 +4,7 @@
 use crate::SeededRng;
 use std::time::Duration;
 
-/// The generation stops when less time than this is left.
+/// The generation stops when the remaining duration is at most this.
 const MIN_REMAINING: Duration = Duration::from_millis(300);
 /// Shortest wait between two steps, in milliseconds.
 const MIN_WAIT_MS: u64 = 100;
@@ -18,10 +18,10 @@
 const DUPLICATE_RATIO: f64 = 0.1;
 /// Share of datagrams that are corrupted while some are lost.
 const CORRUPTION_RATIO: f64 = 0.02;
-/// Number of values that select the kind of the next step.
+/// Number of random values that select the kind of the next step.
 const STEP_KINDS: u64 = 12;
 
-/// Generates a schedule of about this duration over so many nodes and servers. It ends with all faults removed.
+/// Generates a schedule of about this duration for this number of nodes and servers. It ends with all faults removed.
 ///
 /// The same arguments always give the same schedule.
 pub fn generate(
--- a/crates/testbed/src/fleet/schedule/mod.rs
+++ b/crates/testbed/src/fleet/schedule/mod.rs
@@ -27,9 +27,9 @@
     Partition {
         /// Nodes whose datagrams are dropped.
         from: Vec<usize>,
-        /// Nodes that they are dropped on the way to.
+        /// Nodes that do not receive these datagrams.
         to: Vec<usize>,
-        /// Datagrams are dropped on the way back, too.
+        /// Datagrams in the other direction are dropped, too.
         both_directions: bool,
     },
     /// Removes all partitions.
@@ -54,20 +54,20 @@
     SetNodePaused {
         /// The node.
         node: usize,
-        /// Pause it, in place of resuming it.
+        /// Whether it is paused; otherwise it is resumed.
         paused: bool,
     },
     /// Kills the process of a node.
     KillNode(usize),
     /// Starts the process of a node that has none.
     StartNode(usize),
-    /// Terminates the process of a node in order.
+    /// Terminates the process of a node gracefully.
     TerminateNode(usize),
     /// Pauses or resumes a server.
     SetServerPaused {
         /// The server.
         server: usize,
-        /// Pause it, in place of resuming it.
+        /// Whether it is paused; otherwise it is resumed.
         paused: bool,
     },
     /// Sets the share of requests that a server answers with an error.
@@ -77,7 +77,7 @@
         /// The share.
         ratio: f64,
     },
-    /// Bans a server by way of a node.
+    /// Bans a server through a node.
     BanServer {
         /// The node.
         node: usize,
@@ -86,7 +86,7 @@
         /// Time to live of the ban; `None` for the longest.
         seconds: Option<u32>,
     },
-    /// Lifts the ban of a server by way of a node.
+    /// Lifts the ban of a server through a node.
     LiftBan {
         /// The node.
         node: usize,
--- a/crates/testbed/src/fleet/schedule/text.rs
+++ b/crates/testbed/src/fleet/schedule/text.rs
@@ -1,29 +1,29 @@
-//! Schedules as lines of a file, one step a line: `["cut",[0,1],[2],true]`, `["wait",500]`.
+//! The text form of schedules, one step per line: `["cut",[0,1],[2],true]`, `["wait",500]`.
 
 use super::Step;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Why a line is no step.
+/// Error of a line that is not a valid step.
 #[derive(Debug, thiserror::Error)]
 pub enum StepError {
-    /// It is no JSON.
+    /// The line is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is another JSON value than a step.
-    #[error("`{0}` is no step")]
+    /// The line is JSON, but not a step.
+    #[error("`{0}` is not a step of a schedule")]
     NotAStep(String),
 }
 
-/// Why a text is no schedule.
+/// Error of a text that is not a valid schedule.
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleError {
-    /// A line is no step.
+    /// A line is not a valid step.
     #[error("line {line}: {source}")]
     Step {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: StepError,
     },
     /// A line names a node that does not exist.
@@ -44,15 +44,15 @@
     },
 }
 
-/// A schedule as lines.
+/// Formats a schedule, one line per step.
 pub fn format(steps: &[Step]) -> String {
     steps.iter().map(|step| step.to_line() + "\n").collect()
 }
 
-/// Parses a schedule for so many nodes and servers. Empty lines, and those that begin with `#`, are skipped.
+/// Parses a schedule for this number of nodes and servers. Empty lines, and those that begin with `#`, are skipped.
 ///
 /// # Errors
-/// Fails if a line is no step, or names a node or server that does not exist.
+/// Fails if a line is not a valid step, or names a node or server that does not exist.
 pub fn parse(
     text: &str,
     node_count: usize,
@@ -80,7 +80,7 @@
 }
 
 impl Step {
-    /// The line that [`Step::parse`] accepts.
+    /// Formats the step as a line that [`Step::parse`] accepts.
     pub fn to_line(&self) -> String {
         let value = match self {
             Step::Wait(duration) => json!(["wait", milliseconds(duration)]),
@@ -117,7 +117,7 @@
     /// Parses a line.
     ///
     /// # Errors
-    /// Fails if it is no step.
+    /// Fails if the line is not a valid step.
     pub fn parse(line: &str) -> Result<Step, StepError> {
         let fields = Fields {
             line,
--- a/crates/testbed/src/fleet/schedule_run.rs
+++ b/crates/testbed/src/fleet/schedule_run.rs
@@ -13,16 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a schedule is run on.
+/// The fleet and the load that a schedule is executed on.
 #[derive(Clone, Debug)]
 pub struct ScheduleRun {
     /// The fleet.
     pub spec: FleetSpec,
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
-    /// Share of requests that must run at most once.
+    /// Share of requests that must be executed at most once.
     pub at_most_once_ratio: f64,
-    /// Seed of the clients and the network.
+    /// Seed of the clients and of the faults of the network.
     pub seed: u64,
 }
 
@@ -32,8 +32,8 @@
     pub violations: Vec<String>,
     /// The history of the fleet.
     pub history: Arc<History>,
-    /// How long after the schedule the nodes took until each knew all others; `None` if they did not, or if some node has
-    /// no process.
+    /// Time from the end of the load after the schedule until all nodes were members again; `None` if they did not
+    /// converge, if some node has no process, or without a fleet section in the settings.
     pub convergence_time: Option<Duration>,
     schedule_start: Duration,
     schedule_end: Duration,
@@ -50,7 +50,7 @@
         let has_cluster = self.spec.fleet_settings.is_some();
         if has_cluster {
             fleet
-                .wait_until("all know each other", async |fleet| {
+                .wait_until("all nodes are members", async |fleet| {
                     fleet.is_converged().await
                 })
                 .await?;
@@ -64,7 +64,7 @@
         let must_converge = has_cluster && fleet.running_nodes().len() == fleet.node_count();
         let convergence_time = if must_converge {
             fleet
-                .wait_until("all know each other again", async |fleet| {
+                .wait_until("all nodes are members again", async |fleet| {
                     fleet.is_converged().await
                 })
                 .await
@@ -76,11 +76,11 @@
         let mut violations = invariants::violations(&events);
         let served = queries::served_ratio(&events, schedule_start, schedule_end);
         if served.ratio <= 0.0 {
-            // The invariants hold for load that reached no server.
-            violations.push(format!("none of {} requests was served", served.requests));
+            // The invariants also hold for load that reached no server.
+            violations.push(format!("no request of {} was served", served.requests));
         }
         if must_converge && convergence_time.is_none() {
-            violations.push("the nodes do not find each other again".to_owned());
+            violations.push("the membership did not converge after the schedule".to_owned());
         }
         Ok(RunOutcome {
             violations,
@@ -92,9 +92,9 @@
         })
     }
 
-    /// Searches for the shortest part of a schedule that still violates an invariant, in at most `run_limit` runs.
+    /// Searches for a short part of a schedule that still violates an invariant, in at most `run_limit` runs.
     ///
-    /// Random faults may not recur: a part that violated nothing may still be a cause.
+    /// Random faults may not recur, so a part that violated no invariant in its run may still contain the cause.
     pub async fn minimize(
         &self,
         program: &Program,
@@ -110,7 +110,7 @@
 }
 
 impl RunOutcome {
-    /// The figures of a report.
+    /// The figures of the run for a report.
     pub fn figures(&self) -> Value {
         let events = self.history.events();
         let served = queries::served_ratio(&events, self.schedule_start, self.schedule_end);
--- a/crates/testbed/src/fleet/start.rs
+++ b/crates/testbed/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Start of a whole fleet: servers, discovery services, network, settings, then the processes of the nodes.
+//! Start of a fleet: servers, network, discovery services, links and settings, then the processes of the nodes.
 
 use super::datagrams::DatagramNetwork;
 use super::history::{Event, History};
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// Requests that a server processes at a time.
+/// Number of requests that a server processes at the same time.
 const SERVER_WORKERS: usize = 16;
 
 impl TestFleet {
@@ -25,7 +25,7 @@
         TestFleet::start_with_history(program, spec, Arc::new(History::start())).await
     }
 
-    /// The same, with a history that others record events in, too.
+    /// Like [`TestFleet::start`], with a history that others record events in, too.
     ///
     /// # Errors
     /// Fails if a part of it does not start.
@@ -103,10 +103,10 @@
     Ok(servers)
 }
 
-/// Writes the key that the nodes of the fleet share.
+/// Writes the file with the key that the nodes of the fleet share.
 fn write_key(folder: &Path) -> Result<PathBuf> {
     let key_file = folder.join("fleet.key");
-    std::fs::write(&key_file, "the testbed's own key, and nobody else's")?;
+    std::fs::write(&key_file, "key of the testbed's fleets, not a secret")?;
     Ok(key_file)
 }
 
--- a/crates/testbed/src/fleet/verdict_stats.rs
+++ b/crates/testbed/src/fleet/verdict_stats.rs
@@ -1,8 +1,8 @@
-//! How the nodes of a fleet acted on verdicts, from its history: how long they applied one after its end, and how often a
-//! server was ejected that had no fault.
+//! Figures about the verdicts that nodes applied, from the history of a fleet: how long nodes applied a verdict after its
+//! end, and how often they ejected a server without a fault.
 //!
-//! A node logs when it acts on a verdict. Whether it was right follows from the faults that were injected and the bans
-//! that were set, by the clock of the history. The scenario `fleet` and the command `fleet` report these figures.
+//! A node logs when it applies a verdict. Whether it was right follows from the injected faults and the bans in the
+//! history. The scenario `fleet` and the command `fleet` report these figures.
 
 use super::history::{Event, TimedEvent};
 use super::invariants::SCHEDULING_SLACK;
@@ -15,14 +15,14 @@
 /// Time to live of a failure report, unless the settings change it.
 pub const REPORT_TTL: Duration = Duration::from_secs(10);
 
-/// Figures on verdicts.
+/// Figures about the verdicts that nodes applied.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VerdictStats {
     /// How long after the end of a ban nodes still applied it, in ascending order; one entry for each node and ban.
     pub ban_overruns: Vec<Duration>,
-    /// How often a node ejected a server.
+    /// Number of ejections, counted for each node.
     pub ejections: usize,
-    /// The ejections of servers that had had no fault for longer than [`REPORT_TTL`], one line each.
+    /// The ejections of servers that had been without a fault for longer than [`REPORT_TTL`], one line each.
     pub unfounded_ejections: Vec<String>,
     /// How long after the end of its faults nodes still ejected a server, in ascending order.
     pub ejection_overruns: Vec<Duration>,
@@ -39,7 +39,7 @@
         collector.finish(end)
     }
 
-    /// The figures of a report.
+    /// The figures for a report.
     pub fn figures(&self) -> Value {
         json!({
             "bans_over_ms": distribution_ms(&self.ban_overruns),
@@ -68,7 +68,7 @@
     Failing,
 }
 
-/// The faults injected into each server.
+/// The current faults of each server.
 #[derive(Default)]
 struct ServerFaults {
     active: BTreeMap<usize, BTreeSet<ServerFault>>,
@@ -105,7 +105,7 @@
     }
 }
 
-/// What the log of a node says of a server.
+/// A change of a verdict about a server, as logged by a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum VerdictChange {
     Banned,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The server that a line of a node's log names first.
+/// The server that a log line of the fleet begins with.
 fn named_server(line: &str) -> Option<usize> {
     let (_, text) = line.split_once("fleet: ")?;
     let (name, _) = text.split_once(' ')?;
@@ -137,16 +137,16 @@
     (server_name(server) == name).then_some(server)
 }
 
-/// The verdicts that the process of a node acts on.
+/// The verdicts that a node currently applies.
 #[derive(Default)]
 struct NodeVerdicts {
     banned: BTreeSet<usize>,
     ejected: BTreeSet<usize>,
-    /// When it was last resumed; [`Duration::MAX`] while it is paused.
+    /// When its process was last resumed; [`Duration::MAX`] while it is paused.
     resumed_at: Option<Duration>,
 }
 
-/// Reads the history in order.
+/// Collects the figures from the events of a history, in order.
 #[derive(Default)]
 struct Collector {
     stats: VerdictStats,
@@ -220,8 +220,8 @@
         }
     }
 
-    /// A node ends a ban, or the history ends meanwhile: how long after the ban's end, if that has passed. A node that was
-    /// paused could not end it before.
+    /// Records how long after its end a node applied a ban, at the end of its application or of the history. For a node
+    /// that was paused at the end of the ban, the time counts from its resumption.
     fn record_ban_end(&mut self, at: Duration, server: usize, resumed_at: Option<Duration>) {
         let Some(end) = self.ban_ends.get(&server) else {
             return;
@@ -238,7 +238,7 @@
             .filter(|since| at.saturating_sub(*since) > REPORT_TTL + SCHEDULING_SLACK);
         if let Some(since) = healthy_since {
             self.stats.unfounded_ejections.push(format!(
-                "{at:?}: s{server} is condemned, and well since {since:?}"
+                "{at:?}: s{server} was ejected, but has had no fault since {since:?}"
             ));
         }
     }
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Ends the bans that are still in force at the end of the history.
+    /// Records the bans that are still applied at the end of the history, and returns the figures.
     fn finish(mut self, end: Duration) -> VerdictStats {
         for verdicts in std::mem::take(&mut self.nodes).into_values() {
             for server in verdicts.banned {
--- a/crates/testbed/src/fleet/verdict_stats/tests.rs
+++ b/crates/testbed/src/fleet/verdict_stats/tests.rs
@@ -1,4 +1,4 @@
-//! Verdict figures of histories that are written here.
+//! Figures about verdicts, on hand-written histories.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_held_for_too_long_and_what_was_never_wrong_is_seen() {
+fn late_bans_and_ejections_of_healthy_servers_are_counted() {
     let fault = |step: Step| Event::ScheduleStep(step.to_line());
     let events = at_times([
         (
@@ -83,13 +83,13 @@
         stats.unfounded_ejections
     );
     assert_eq!(stats.ejection_overruns, [7 * SECOND]);
-    // Held to the end of the history.
+    // A ban that is still applied at the end of the history.
     let stats = VerdictStats::from_events(&events[..6]);
     assert_eq!(stats.ban_overruns, [Duration::ZERO, Duration::ZERO]);
-    let mut held = events[..6].to_vec();
-    held.extend(at_times([(8 * SECOND, Event::ProcessStarted { node: 9 })]));
+    let mut extended = events[..6].to_vec();
+    extended.extend(at_times([(8 * SECOND, Event::ProcessStarted { node: 9 })]));
     assert_eq!(
-        VerdictStats::from_events(&held).ban_overruns,
+        VerdictStats::from_events(&extended).ban_overruns,
         [Duration::ZERO, 3 * SECOND]
     );
 }
--- a/crates/testbed/src/soak/checker.rs
+++ b/crates/testbed/src/soak/checker.rs
@@ -130,7 +130,7 @@
 pub enum CloseRace {
     /// After an answer that announced the close.
     Announced,
-    /// Without announcement, right after the request was written, as an idle connection is.
+    /// Without announcement, right after the request was written, as when the node closes an idle connection.
     Unannounced,
     /// Before the node read anything from it, while clients exhaust the node's connections.
     Unread,
--- a/crates/testbed/tests/cluster/bans.rs
+++ b/crates/testbed/tests/cluster/bans.rs
@@ -1,8 +1,8 @@
-//! Manual bans: how they spread, expire and are lifted, with and without partitions.
+//! Manual bans: propagation, expiry and lifting, with and without partitions.
 
 use crate::fleets::{
-    assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_command,
-    run_for, start, wait_until_attempted, wait_until_explained, SECOND,
+    assert_no_violations, attempt_count, late_attempts, reserve_fleet, run_command, run_for,
+    spec_with_short_slow_start, start, wait_until_attempted, wait_until_explained, SECOND,
 };
 use crate::ALL_NODES;
 use reelfall_testbed::fleet::{invariants, queries, server_name, FleetSpec, ManagementResponse};
@@ -20,7 +20,7 @@
     assert_eq!(
         late_attempts(&fleet, 2, since, &ALL_NODES),
         [],
-        "sent to a banned server\n{}",
+        "attempts at a banned server\n{}",
         fleet.history.tail(20)
     );
     let ManagementResponse { status, body } = fleet
@@ -37,21 +37,21 @@
         ["n0 at", "n4 at"].iter().all(|node| members.contains(node)),
         "{members}"
     );
-    // A server that is disabled at one node alone.
+    // A server that is disabled at a single node.
     run_command(&fleet, 1, &["disable", "s5"]).await;
     let since = fleet.history.now();
     run_for(2.5).await;
     assert_eq!(
         late_attempts(&fleet, 5, since, &[1]),
         [],
-        "sent to a server that is disabled at this node"
+        "attempts at a server that is disabled at this node"
     );
     assert!(
         !late_attempts(&fleet, 5, since, &[0, 2, 3, 4]).is_empty(),
-        "disabled at one node, and avoided by all"
+        "disabled at one node, but avoided by the others, too"
     );
     run_command(&fleet, 1, &["enable", "s5"]).await;
-    // Lifted by way of another node.
+    // The ban is lifted through another node.
     fleet.lift_ban(3, 2).await.unwrap();
     wait_until_attempted(&fleet, 2, &ALL_NODES).await;
     load.stop().await;
@@ -61,12 +61,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_expires_on_both_sides_of_a_partition_and_spreads_after_it() {
     let _reservation = reserve_fleet().await;
-    let fleet = start(quickly_warmed()).await;
+    let fleet = start(spec_with_short_slow_start()).await;
     let load = fleet.start_load(60.0, 0.2, 2);
     let (side_a, side_b) = ([0, 1], [2, 3, 4]);
     fleet.ban_server(0, 0, Some(6)).await.unwrap();
     let banned_at = fleet.history.now();
-    // Nodes that the ban does not reach before the partition can't learn of it while it lasts.
+    // A ban that does not reach a node before the partition can't reach it until the partition heals.
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     fleet.network().partition(&side_a, &side_b, true);
     fleet.ban_server(0, 1, None).await.unwrap();
@@ -125,7 +125,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ban_renewed_during_a_partition_outlives_a_concurrent_lift() {
     let _reservation = reserve_fleet().await;
-    let fleet = start(quickly_warmed()).await;
+    let fleet = start(spec_with_short_slow_start()).await;
     let load = fleet.start_load(40.0, 0.2, 30);
     let (side_a, side_b) = ([0, 1, 2], [3, 4]);
     fleet.ban_server(0, 0, None).await.unwrap();
@@ -146,7 +146,7 @@
         "a lift crossed the partition"
     );
     fleet.network().heal();
-    // The renewed ban holds at all nodes, and the other lift too.
+    // The renewed ban is in force at all nodes, and so is the lift of the other ban.
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
     wait_until_explained(&fleet, "s1", "s1: not out by hand").await;
     let since = fleet.history.now();
--- a/crates/testbed/tests/cluster/ejection.rs
+++ b/crates/testbed/tests/cluster/ejection.rs
@@ -1,7 +1,7 @@
-//! Outlier ejection by a quorum of nodes: how soon it applies at all nodes, how many servers it covers, and readmission.
+//! Outlier ejection by a quorum of nodes: detection time, limit of ejected servers, and readmission.
 
 use crate::fleets::{
-    assert_no_violations, attempt_count, quickly_warmed, reserve_fleet, run_for, start,
+    assert_no_violations, attempt_count, reserve_fleet, run_for, spec_with_short_slow_start, start,
     wait_until_attempted, wait_until_ejected, wait_until_explained, SECOND,
 };
 use reelfall_cluster::quorum::Quorum;
@@ -20,13 +20,13 @@
 const BUSY: [usize; 4] = [0, 1, 2, 3];
 /// Nodes without traffic at first.
 const IDLE: [usize; 2] = [4, 5];
-/// A server that is not ejected gets more than this number of attempts in two seconds; an ejected one gets a probe a second.
+/// A server that is not ejected gets more attempts than this in two seconds; an ejected one gets one probe per second.
 const MAX_PROBES: usize = 8;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn server_ejected_by_a_quorum_is_avoided_by_nodes_without_traffic() {
     let _reservation = reserve_fleet().await;
-    // The prober of the server does not change during the test, and it is none of the idle nodes.
+    // The prober of the server does not change during the test and is not one of the idle nodes.
     let fleet_settings = Some("verdicts = { trial_every = \"60s\" }".to_owned());
     let node_names = names_that_never_probe(6, &IDLE, &[0]);
     let fleet = start(FleetSpec {
@@ -48,7 +48,7 @@
         "{detection_time:?}"
     );
     wait_until_ejected(&fleet, 0, &IDLE).await;
-    // The idle nodes, which have seen no failure, send nothing there once they have traffic.
+    // The idle nodes, which have observed no failure, send it no attempts once they have traffic.
     let since = fleet.history.now();
     let load_at_idle = fleet.start_load_at(&IDLE, 100.0, 0.2, 5);
     wait_until_attempted(&fleet, 1, &IDLE).await;
@@ -57,15 +57,15 @@
     assert_eq!(
         attempts,
         [],
-        "sent to an ejected server\n{}",
+        "attempts at an ejected server\n{}",
         fleet.history.tail(20)
     );
-    // It responds again: the prober finds that out, or the verdict expires, and all nodes send there.
+    // The server responds again: the prober detects this or the verdict expires, and all nodes send it attempts.
     fleet.servers[0].update_behavior(|behavior| behavior.error_ratio = 0.0);
     wait_until_explained(&fleet, "s0", "not condemned").await;
     wait_until_attempted(&fleet, 0, &IDLE).await;
     load_at_idle.stop().await;
-    // Nodes that have seen it fail send it about one of two hundred requests, so they get more of them.
+    // Nodes that have observed its failures send it about one of 200 requests, so their load is increased.
     let more_load = fleet.start_load_at(&BUSY, 60.0, 0.2, 6);
     wait_until_attempted(&fleet, 0, &BUSY).await;
     load.stop().await;
@@ -81,12 +81,12 @@
     let mut fleet = start(FleetSpec {
         node_count: ALL_NODES.len(),
         server_count: SERVER_COUNT,
-        ..quickly_warmed()
+        ..spec_with_short_slow_start()
     })
     .await;
     let load = fleet.start_load(50.0, 0.0, 24);
     run_for(2.0).await;
-    // Two of eight fail. At most a fifth of the list is ejected, in all services together: one.
+    // Two of eight servers fail. At most a fifth of the list is ejected, over all services: one server.
     let first_event = fleet.history.len();
     set_failures(&mut fleet, 0..2, 1.0).await;
     let is_ejection =
@@ -102,7 +102,7 @@
         .map(|node| max_concurrent_ejections(&fleet, first_event, *node))
         .max();
     assert_eq!(maximum, Some(1), "{}", fleet.history.tail(30));
-    // All fail: most of them still get attempts.
+    // All servers fail: most of them still get attempts.
     set_failures(&mut fleet, 0..SERVER_COUNT, 1.0).await;
     run_for(1.5).await;
     let since = fleet.history.now();
@@ -112,7 +112,7 @@
         .collect();
     let admitted = attempts.iter().filter(|count| **count > MAX_PROBES).count();
     assert!(admitted >= 6, "{attempts:?}");
-    // All respond again: within three seconds requests are served.
+    // All servers respond again: within three seconds requests are served.
     set_failures(&mut fleet, 0..SERVER_COUNT, 0.0).await;
     run_for(3.0).await;
     let since = fleet.history.now();
@@ -132,7 +132,7 @@
         node_count: 6,
         server_count: 8,
         fleet_settings,
-        ..quickly_warmed()
+        ..spec_with_short_slow_start()
     })
     .await;
     let load = fleet.start_load_at(&BUSY, 60.0, 0.2, 25);
@@ -147,9 +147,9 @@
         .await
         .unwrap();
     let ejected_after = ejected_at - paused_at;
-    // When three nodes have sent an attempt is random. From then on a tenth of the two seconds that an attempt may take
-    // shows that responses are late, and reports reach all nodes within a second.
-    let quorum_at = last_witness_at(&fleet, 0, paused_at, ejected_at, &BUSY);
+    // The time at which three nodes have sent an attempt is random. After it, a tenth of the two seconds that an attempt may
+    // take is enough to detect late responses, and reports reach all nodes within a second.
+    let quorum_at = quorum_reached_at(&fleet, 0, paused_at, ejected_at, &BUSY);
     let detection_time = ejected_at - quorum_at;
     assert!(
         detection_time < SECOND,
@@ -160,9 +160,9 @@
     let readmitted_after = fleet.history.now() - paused_at - ejected_after;
     assert!(
         readmitted_after < 4 * SECOND,
-        "the server responds, and was still ejected for {readmitted_after:?}"
+        "the server responded, but was still ejected for {readmitted_after:?}"
     );
-    // All nodes send there again, those without traffic before too.
+    // All nodes send it attempts again, including those that had no traffic before.
     let load_at_idle = fleet.start_load_at(&IDLE, 60.0, 0.2, 26);
     wait_until_attempted(&fleet, 0, &[0, 1, 2, 3, 4, 5]).await;
     load.stop().await;
@@ -182,7 +182,7 @@
     execute(fleet, &[step]).await.unwrap();
 }
 
-/// The maximum number of servers that were ejected at a node at the same time, from an index of the history on.
+/// Maximum number of servers that were ejected at a node at the same time, from an index of the history on.
 fn max_concurrent_ejections(fleet: &TestFleet, first_event: usize, node: usize) -> usize {
     let mut ejected = BTreeSet::new();
     let mut maximum = 0;
@@ -204,9 +204,9 @@
     maximum
 }
 
-/// When the last of a quorum of these nodes first sent an attempt to a server between two times; `from` if none did, since
-/// attempts that were in flight before are evidence too.
-fn last_witness_at(
+/// When a quorum of these nodes had sent an attempt to a server between two times; `from` if none did, since attempts that
+/// were already in flight are evidence, too.
+fn quorum_reached_at(
     fleet: &TestFleet,
     server: usize,
     from: Duration,
--- a/crates/testbed/tests/cluster/main.rs
+++ b/crates/testbed/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! Fleets of real processes with faults between them. The assertions read the history: the responses of clients and the
-//! attempts at servers, by one clock.
+//! Fleets of real processes with injected faults. The assertions use the history: the responses to clients and the attempts
+//! at servers, by a single clock.
 
 mod bans;
 mod ejection;
--- a/crates/testbed/tests/cluster/membership.rs
+++ b/crates/testbed/tests/cluster/membership.rs
@@ -1,24 +1,24 @@
-//! Nodes that pause, restart behind a partition, or have the name of another.
+//! Nodes that pause, restart during a partition, or have the name of another node.
 
 use crate::fleets::{
-    assert_no_violations, late_attempts, program, quickly_warmed, reserve_fleet, run_for, start,
-    wait_until_attempted, wait_until_explained, SECOND,
+    assert_no_violations, late_attempts, program, reserve_fleet, run_for,
+    spec_with_short_slow_start, start, wait_until_attempted, wait_until_explained, SECOND,
 };
 use crate::ALL_NODES;
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, TestFleet};
 use std::time::Duration;
 
-/// What a node logs that finds its name in use.
+/// Text in the log line of a node whose name is in use by another process.
 const NAME_CONFLICT: &str = "another process has this node's name";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resumed_node_neither_applies_nor_spreads_expired_bans() {
     let _reservation = reserve_fleet().await;
-    let mut fleet = start(quickly_warmed()).await;
-    // The node that pauses has no traffic: requests that pause with it would look like slow servers.
+    let mut fleet = start(spec_with_short_slow_start()).await;
+    // The paused node has no traffic: requests in flight during the pause would look like slow servers.
     let load = fleet.start_load_at(&[0, 1, 2, 3], 40.0, 0.2, 3);
-    // It knows of the first ban when it pauses; the second arrives in its receive buffer meanwhile.
+    // It knows the first ban when it is paused; the second arrives in its receive buffer during the pause.
     fleet.ban_server(0, 0, Some(12)).await.unwrap();
     run_for(1.0).await;
     fleet.set_paused(4, true);
@@ -36,7 +36,7 @@
         "expired bans were applied for {readmission_time:?}"
     );
     run_for(3.0).await;
-    // No other node took them for new bans: all of them sent to both servers all the time.
+    // No other node applied them as new bans: all other nodes kept sending attempts to both servers.
     for server in [0, 1] {
         let attempts = queries::attempts(
             &fleet.history.events(),
@@ -68,7 +68,7 @@
     run_for(6.0).await;
     fleet.network().heal();
     wait_until_explained(&fleet, "s0", "s0: out by hand").await;
-    // The ban of the new incarnation counts although the former one had the same name.
+    // The ban by the new incarnation is valid although the former one had the same name.
     let load = fleet.start_load(40.0, 0.2, 6);
     let since = fleet.history.now();
     run_for(3.0).await;
@@ -78,29 +78,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_of_two_processes_with_one_name_steps_aside() {
+async fn one_of_two_processes_with_the_same_name_becomes_passive() {
     let _reservation = reserve_fleet().await;
     let spec = FleetSpec {
         node_count: 4,
         node_names: [(3, "n2".to_owned())].into(),
-        ..quickly_warmed()
+        ..spec_with_short_slow_start()
     };
     let fleet = TestFleet::start(&program(), &spec).await.unwrap();
     let load = fleet.start_load(40.0, 0.2, 22);
     fleet
-        .wait_until("one steps aside", async |fleet| {
+        .wait_until("a node logs the name conflict", async |fleet| {
             conflicting_node(fleet).is_some()
         })
         .await
         .unwrap();
-    let (silent, active) = if conflicting_node(&fleet) == Some(3) {
+    let (passive, active) = if conflicting_node(&fleet) == Some(3) {
         (3, 2)
     } else {
         (2, 3)
     };
     assert!(
-        fleet.ban_server(silent, 0, Some(300)).await.is_err(),
-        "both processes accept bans"
+        fleet.ban_server(passive, 0, Some(300)).await.is_err(),
+        "both processes accepted bans"
     );
     for (by, server) in [(active, 1), (0, 2)] {
         fleet.ban_server(by, server, Some(300)).await.unwrap();
@@ -109,7 +109,7 @@
         assert_eq!(
             late_attempts(&fleet, server, since, &[0, 1, 2, 3]),
             [],
-            "sent to a banned server"
+            "attempts at a banned server"
         );
     }
     load.stop().await;
--- a/crates/testbed/tests/cluster/network_faults.rs
+++ b/crates/testbed/tests/cluster/network_faults.rs
@@ -1,23 +1,23 @@
-//! Partial partitions, links without answers, floods, full buffers, and datagrams that the system does not send.
+//! Partial partitions, unresponsive links, floods, full receive buffers, and datagrams that the system does not send.
 
 use crate::fleets::{
-    assert_no_violations, attempt_count, late_attempts, quickly_warmed, reserve_fleet, run_for,
-    start, wait_until_attempted, wait_until_explained, SECOND,
+    assert_no_violations, attempt_count, late_attempts, reserve_fleet, run_for,
+    spec_with_short_slow_start, start, wait_until_attempted, wait_until_explained, SECOND,
 };
 use crate::ALL_NODES;
 use reelfall_testbed::fleet::history::Event;
 use reelfall_testbed::fleet::{queries, FleetSpec, ManagementResponse, TestFleet};
 
-/// An ejected server gets a probe a second; in four seconds one that is not ejected gets more attempts than this.
+/// A server that is not ejected gets more attempts than this in four seconds; an ejected one gets one probe per second.
 const MAX_PROBES: usize = 8;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn partial_partitions_separate_no_members() {
-    /// Longer than a probe and a suspicion take, in seconds.
+    /// Time in which a node would probe and suspect an unreachable member and declare it down, in seconds.
     const DETECTION_TIME: f64 = 9.0;
     let _reservation = reserve_fleet().await;
     let fleet = start(FleetSpec::default()).await;
-    // Nodes 0 and 1 receive nothing from each other, node 3 nothing from node 2; all can reach node 4.
+    // Nodes 0 and 1 receive no datagrams from each other, and node 3 none from node 2; all reach node 4.
     fleet.network().partition(&[0], &[1], true);
     fleet.network().partition(&[2], &[3], false);
     let first_event = fleet.history.len();
@@ -36,7 +36,7 @@
         assert_eq!(
             late_attempts(&fleet, server, since, &ALL_NODES),
             [],
-            "sent to a banned server"
+            "attempts at a banned server"
         );
     }
     load.stop().await;
@@ -68,14 +68,14 @@
         let attempts = queries::attempts(&events, server, to - 4 * SECOND, to, &ALL_NODES);
         assert!(
             attempts.len() > MAX_PROBES,
-            "server {server} was sent {} requests in 4 s",
+            "server {server} got {} attempts in 4 s",
             attempts.len()
         );
     }
     set_links_frozen(&fleet, FAULTY_NODE, false);
     fleet.kill(FAULTY_NODE);
     load.stop().await;
-    // A sixth of the requests were sent to the faulty node.
+    // A sixth of the requests was sent to the faulty node.
     let queries::ServedRatio { ratio, requests } =
         queries::served_ratio(&events, from, to - 5 * SECOND);
     assert!(ratio > 0.8, "{ratio} of {requests}");
@@ -101,23 +101,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn full_receive_buffer_and_failed_sends_are_survived() {
+async fn full_receive_buffer_and_failed_sends_do_not_prevent_a_ban() {
     const PAUSED_NODE: usize = 4;
     let _reservation = reserve_fleet().await;
-    // The system does not let a process send to a broadcast address.
+    // The system refuses to send datagrams to a broadcast address.
     let seeds = (1..6)
         .map(|port| ([127, 255, 255, 255], port).into())
         .collect();
     let mut fleet = start(FleetSpec {
         seeds,
-        ..quickly_warmed()
+        ..spec_with_short_slow_start()
     })
     .await;
     fleet
         .wait_until("a failed send", has_failed_send)
         .await
         .unwrap();
-    // The flood fills the receive buffer of the paused process; gossip that arrives after it is lost.
+    // The flood fills the receive buffer of the paused process, so later gossip is lost.
     fleet.set_paused(PAUSED_NODE, true);
     fleet.network().flood(PAUSED_NODE, 8000).await;
     fleet.ban_server(0, 0, Some(300)).await.unwrap();
@@ -130,7 +130,7 @@
     assert_eq!(
         attempt_count(&fleet, 0, since, &ALL_NODES),
         0,
-        "sent to a banned server"
+        "attempts at a banned server"
     );
     load.stop().await;
     assert_no_violations(&fleet);
@@ -145,7 +145,7 @@
         .any(|entry| matches!(&entry.event, Event::Logged { line, .. } if line.contains("is down")))
 }
 
-/// Sets whether the links from a node to all servers pass nothing on.
+/// Sets whether the links from a node to all servers forward nothing.
 fn set_links_frozen(fleet: &TestFleet, node: usize, is_frozen: bool) {
     for server in 0..fleet.servers.len() {
         fleet
@@ -154,7 +154,7 @@
     }
 }
 
-/// Whether all nodes respond, and one of them counts a datagram that the system did not send.
+/// Whether a node counts a datagram that the system did not send. False if a node asked before it does not respond.
 async fn has_failed_send(fleet: &TestFleet) -> bool {
     for node in ALL_NODES {
         let response = fleet.call_management(node, "GET", "/-/fleet/members").await;
--- a/crates/testbed/tests/cluster/schedule.rs
+++ b/crates/testbed/tests/cluster/schedule.rs
@@ -22,7 +22,10 @@
         .iter()
         .map(|step| Step::parse(&step.to_line()).unwrap())
         .collect();
-    assert_eq!(steps, parsed, "the text form of a schedule is not exact");
+    assert_eq!(
+        steps, parsed,
+        "the text form of the schedule does not parse to the same steps"
+    );
     let load = fleet.start_load(30.0, 0.3, 7);
     execute(&mut fleet, &steps).await.unwrap();
     load.stop().await;
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,20 +1,20 @@
-//! A node whose discovery service is overloaded, or sends endpoint lists that are invalid.
+//! A node whose discovery service is unavailable or sends invalid endpoint lists.
 
 use reelfall_testbed::scripted::{
     get, Discovery, ListedServer, Node, Program, Server, WAIT_TIMEOUT,
 };
 use std::time::{Duration, Instant};
 
-/// Sockets that the node may open.
+/// Number of sockets that the node may open.
 const MAX_SOCKETS: usize = 256;
-/// Requests after each event.
+/// Number of requests after each event.
 const REQUEST_COUNT: u32 = 10;
-/// Interval at which a wait checks its condition.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long the discovery service is unavailable.
 const OUTAGE_DURATION: Duration = Duration::from_secs(4);
-/// Pause between two runs of requests during the outage.
-const RUN_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause between two batches of requests during the outage.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Sends one request, with this correlation id; returns whether it succeeded.
+    /// Sends a request with this correlation id; returns whether it was answered 200.
     fn is_served(&self, correlation_id: &str) -> bool {
         get(self.node.address, correlation_id).status == 200
     }
 
-    /// Sends requests with numbered correlation ids, which all succeed.
+    /// Sends [`REQUEST_COUNT`] requests with correlation ids numbered from `first`; asserts that all are answered 200.
     fn assert_served(&self, first: u32) {
         for index in first..first + REQUEST_COUNT {
             assert_eq!(get(self.node.address, &format!("r-{index}")).status, 200);
@@ -78,10 +78,10 @@
         "\u{0}\u{1}",
     ];
     for (index, line) in (0..).zip(lines) {
-        // The node has read the line when it sends the next poll.
+        // When the node sends the next poll, it has read the line.
         let polls_before = discovery.requests();
         discovery.send_line(line);
-        wait_until("the node does not poll again after an invalid line", || {
+        wait_until("the node did not poll again after an invalid line", || {
             discovery.requests() > polls_before
         });
         deployment.assert_served(REQUEST_COUNT * index);
@@ -93,7 +93,7 @@
     // The next valid list is applied.
     let added = Server::healthy();
     discovery.send_snapshot(7, &[listed("s-b", &added)]);
-    wait_until("a list after invalid ones is not applied", || {
+    wait_until("a valid list after invalid lines was not applied", || {
         deployment.is_served("n") && added.requests() > 0
     });
 }
@@ -122,11 +122,11 @@
         r#"{{"index":6,"snapshot":true,"endpoints":[{}]}}"#,
         endpoints.join(",")
     ));
-    wait_until("a server beside invalid endpoints is not used", || {
+    wait_until("a valid endpoint among invalid ones was not used", || {
         deployment.is_served("n") && added.requests() > 0
     });
     let requests_before = deployment.server.requests();
-    wait_until("a server that is listed twice is not used", || {
+    wait_until("an endpoint that is listed twice was not used", || {
         deployment.is_served("m") && deployment.server.requests() > requests_before
     });
 }
@@ -138,7 +138,7 @@
     deployment
         .discovery
         .send_snapshot(2, &[listed("s-b", &added)]);
-    wait_until("a list with a lower index is not applied", || {
+    wait_until("a list with a lower index was not applied", || {
         deployment.is_served("n") && added.requests() > 0
     });
 }
@@ -155,16 +155,16 @@
     while started_at.elapsed() < OUTAGE_DURATION {
         deployment.assert_served(first);
         first += REQUEST_COUNT;
-        std::thread::sleep(RUN_INTERVAL);
+        std::thread::sleep(BATCH_INTERVAL);
     }
-    // Without backoff there would be some eighty.
+    // Without backoff there would be about eighty.
     let polls = discovery.requests() - polls_before;
     assert!((1..25).contains(&polls), "{polls} polls in four seconds");
     discovery.set_unavailable(false);
     let added = Server::healthy();
     discovery.send_snapshot(9, &[listed("s-b", &added)]);
     let requests_before = deployment.server.requests();
-    wait_until("the list is not followed again", || {
+    wait_until("the list after the outage was not applied", || {
         deployment.is_served("n") && added.requests() > 0
     });
     assert!(deployment.server.requests() >= requests_before);
--- a/crates/testbed/tests/fleets/mod.rs
+++ b/crates/testbed/tests/fleets/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures, waits and queries that tests of fleets of processes share.
+//! Fixtures, waits and queries shared by the tests of fleets.
 
 // Each test binary uses some of them.
 #![allow(dead_code)]
@@ -12,17 +12,17 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 pub const SECOND: Duration = Duration::from_secs(1);
-/// Maximum number of fleets that run at once, however many tests do. With more of them nodes would be short of processor
-/// time and report servers as slow.
+/// Maximum number of fleets that run at once, whatever the number of concurrent tests. With more fleets, nodes would lack
+/// processor time and report servers as slow.
 const MAX_FLEETS: usize = 2;
-/// A server that got no attempt for this time is avoided: under the load of these tests any other gets many.
+/// A server without attempts for this time is ejected: under the load of these tests any other server gets many.
 const QUIET_TIME: Duration = Duration::from_millis(500);
 
 pub fn program() -> Program {
     Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"))
 }
 
-/// Starts a fleet and waits until its nodes know each other.
+/// Starts a fleet and waits until all nodes are members.
 pub async fn start(spec: FleetSpec) -> TestFleet {
     let fleet = TestFleet::start(&program(), &spec).await.unwrap();
     if spec.fleet_settings.is_some() {
@@ -36,15 +36,15 @@
     fleet
 }
 
-/// A fleet whose services have a short slow start.
-pub fn quickly_warmed() -> FleetSpec {
+/// A fleet of the default size whose services have a short slow start.
+pub fn spec_with_short_slow_start() -> FleetSpec {
     FleetSpec {
         service_settings: SHORT_SLOW_START.to_owned(),
         ..FleetSpec::default()
     }
 }
 
-/// Waits until fewer than [`MAX_FLEETS`] run, and reserves a place for one until the permit is dropped.
+/// Waits until fewer than [`MAX_FLEETS`] fleets run, and permits the caller to run one until the permit is dropped.
 pub async fn reserve_fleet() -> SemaphorePermit<'static> {
     static FLEETS: Semaphore = Semaphore::const_new(MAX_FLEETS);
     FLEETS.acquire().await.unwrap()
@@ -84,7 +84,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Waits until all running nodes explain a server with this text.
+/// Waits until the explanation of a server's state contains this text at all running nodes.
 pub async fn wait_until_explained(fleet: &TestFleet, server: &str, text: &str) {
     wait_until_all_explain(fleet, server, text, |explanation| {
         explanation.contains(text)
@@ -92,10 +92,10 @@
     .await;
 }
 
-/// Waits until all running nodes have reports of errors of a server by at least `reporters` nodes.
+/// Waits until all running nodes have reports about errors of a server from at least `reporters` nodes.
 ///
-/// That the server is ejected is not enough: on a busy machine one of the reports may be of an attempt in flight, which is
-/// taken back when its response arrives.
+/// An ejection is not sufficient: on a busy machine one of its reports may be about an attempt in flight, and such a report
+/// is withdrawn when the response arrives.
 pub async fn wait_until_errors_reported(fleet: &TestFleet, server: &str, reporters: usize) {
     let error_reports = |explanation: &str| {
         explanation
@@ -130,10 +130,11 @@
         .unwrap();
 }
 
-/// Waits until the last log line of each of these nodes about a server is its ejection, which is when the node applies it,
-/// and none of them has sent the server an attempt for [`QUIET_TIME`].
+/// Waits until each of these nodes has applied the ejection of a server, as its last log line about the server says, and
+/// none of them has sent the server an attempt for [`QUIET_TIME`].
 ///
-/// That a node explains the server as ejected is not enough: it has the reports, and its pools may send for a moment more.
+/// The explanation of the server as ejected is not sufficient: the node has the reports by then, but its pools may still
+/// send attempts for a moment.
 pub async fn wait_until_ejected(fleet: &TestFleet, server: usize, nodes: &[usize]) {
     let name = server_name(server);
     let is_ejected = |events: &[TimedEvent], node: usize| {
@@ -160,7 +161,7 @@
 pub async fn wait_until_attempted(fleet: &TestFleet, server: usize, nodes: &[usize]) {
     let from = fleet.history.now();
     fleet
-        .wait_until("attempts at the server by all", async |fleet| {
+        .wait_until("attempts at the server by each node", async |fleet| {
             let events = fleet.history.events();
             nodes.iter().all(|node| {
                 !queries::attempts(&events, server, from, Duration::MAX, &[*node]).is_empty()
@@ -170,12 +171,12 @@
         .unwrap();
 }
 
-/// Number of attempts at a server by these nodes since a moment.
+/// Number of attempts at a server by these nodes since a time.
 pub fn attempt_count(fleet: &TestFleet, server: usize, since: Duration, nodes: &[usize]) -> usize {
     queries::attempts(&fleet.history.events(), server, since, Duration::MAX, nodes).len()
 }
 
-/// Attempts by these nodes that were sent after a ban at `since` has reached all nodes and each has applied it.
+/// Attempts by these nodes after a ban that was set at `since` must have reached all nodes and be applied by each.
 pub fn late_attempts(
     fleet: &TestFleet,
     server: usize,
--- a/crates/testbed/tests/leases.rs
+++ b/crates/testbed/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Leases among real processes: holders and keepers that are killed, paused, partitioned, or start with old data. Judged by
-//! the writes that a fenced resource received, by a single clock.
+//! Leases among real processes: holders and keepers are killed, paused, partitioned, or start with old data. The assertions
+//! use the writes that a fenced resource received, by a single clock.
 
 mod fleets;
 
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The lease of these tests.
+/// Name of the lease.
 const LEASE: &str = "roll";
 /// Duration of a lease.
 const LEASE_DURATION: Duration = Duration::from_millis(1000);
-/// Time for another node to acquire the lease of one that has ended.
+/// Longest time until another node acquires the lease of a node whose process has ended.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(6);
-/// The first nodes keep the leases.
+/// Number of keepers: the first nodes.
 const KEEPER_COUNT: usize = 3;
-/// The log line and status of a keeper that takes part in votes.
+/// Text in the log and the status of a keeper that takes part in votes.
 const VOTES: &str = "this keeper votes";
 /// Name of the file with the leases in the folder of a keeper.
 const LEASE_FILE: &str = "leases";
@@ -31,7 +31,7 @@
     _resource: FencedResource,
 }
 
-/// The node that wrote last, and its fencing token.
+/// The holder of the lease, as of the last admitted write, and its fencing token.
 #[derive(Clone, Copy)]
 struct Holder {
     node: usize,
@@ -83,14 +83,14 @@
 
 async fn wait_until_converged(fleet: &TestFleet) {
     fleet
-        .wait_until("all nodes know each other", async |fleet| {
+        .wait_until("all nodes are members", async |fleet| {
             fleet.is_converged().await
         })
         .await
         .unwrap();
 }
 
-/// The current holder, as of the last write; `None` before the first.
+/// The current holder, as of the last admitted write; `None` before the first.
 fn holder(fleet: &TestFleet) -> Option<Holder> {
     let last = admitted_writes(&fleet.history.events(), LEASE).pop()?;
     Some(Holder {
@@ -99,7 +99,7 @@
     })
 }
 
-/// Waits for the first write with a token greater than this one.
+/// Waits for the first admitted write with a token greater than this one.
 async fn wait_for_takeover(fleet: &TestFleet, token: u64) -> Takeover {
     fleet
         .wait_until("the lease is taken over", async |fleet| {
@@ -117,7 +117,7 @@
     }
 }
 
-/// An operator has the holder release the lease, and another node acquires it.
+/// Has the holder release the lease through its management address, and waits until a node acquires it again.
 async fn hand_over(fleet: &TestFleet) {
     let released = holder(fleet).unwrap();
     fleet
@@ -155,7 +155,7 @@
     lines.collect()
 }
 
-/// Whether a node reports this in the status of its leases.
+/// Whether the lease status of a node contains this text.
 async fn status_contains(fleet: &TestFleet, node: usize, text: &str) -> bool {
     let response = fleet.call_management(node, "GET", "/-/fleet/leases").await;
     response.is_ok_and(|response| response.status == 200 && response.body.contains(text))
@@ -175,20 +175,20 @@
     let first = wait_for_takeover(fleet, 0).await;
     run_for(1.0).await;
     let Holder { node, token } = holder(fleet).unwrap();
-    assert_eq!(node, first.node, "a lease that is renewed stays");
+    assert_eq!(node, first.node, "a renewed lease changed its holder");
     let status = run_command(fleet, first.node, &["fleet", "leases"]).await;
     assert!(
         status.contains(&format!("{LEASE}: held here, token {token}")),
         "{status}"
     );
-    // After a kill, the next holder starts when the lease has expired, not before.
+    // After a kill, the next holder starts only when the lease has expired.
     let killed_at = fleet.history.now();
     fleet.kill(first.node);
     let second = wait_for_takeover(fleet, token).await;
     assert_ne!(second.node, first.node);
     assert!(
         second.at > killed_at + LEASE_DURATION / 2 && second.at < killed_at + TAKEOVER_TIMEOUT,
-        "{:?} after",
+        "taken over {:?} after",
         second.at - killed_at
     );
     // The killed node may be a keeper, and two keepers are a quorum.
@@ -207,14 +207,14 @@
     let third = wait_for_takeover(fleet, token).await;
     assert!(
         third.at < terminated_at + TAKEOVER_TIMEOUT,
-        "{:?} after",
+        "taken over {:?} after",
         third.at - terminated_at
     );
     assert_no_lease_violations(fleet);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn paused_or_partitioned_holder_never_writes_beside_next_one() {
+async fn paused_or_partitioned_holder_never_writes_beside_its_successor() {
     let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(5).await;
     let fleet = &mut lease_fleet.fleet;
@@ -222,7 +222,7 @@
     for round in 0..4 {
         let paused = wait_for_takeover(fleet, token).await.node;
         token = holder(fleet).unwrap().token;
-        // Between two writes, or during one.
+        // The pause starts between two writes or during one, depending on the round.
         run_for(0.07 + 0.013 * f64::from(round)).await;
         fleet.set_paused(paused, true);
         wait_for_takeover(fleet, token).await;
@@ -230,7 +230,7 @@
         run_for(0.3).await;
     }
     assert_no_lease_violations(fleet);
-    // Partitioned from all other nodes, and not from the resource.
+    // The holder is partitioned from all other nodes, but not from the resource.
     let former = holder(fleet).unwrap();
     let others: Vec<usize> = (0..fleet.node_count())
         .filter(|node| *node != former.node)
@@ -246,10 +246,10 @@
         .unwrap();
     assert!(
         last_write_at < takeover.at,
-        "the former holder wrote {:?} after the next one began",
+        "the former holder wrote {:?} after its successor started",
         last_write_at - takeover.at
     );
-    // It stopped by its own clock, so that the resource had nothing to reject.
+    // The former holder stopped by its own clock, so the resource had nothing to reject.
     let later_events: Vec<TimedEvent> = events
         .iter()
         .filter(|entry| entry.at > last_write_at)
@@ -261,12 +261,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn without_quorum_nobody_writes_and_requests_are_served() {
+async fn without_quorum_no_node_writes_and_requests_are_served() {
     let _reservation = reserve_fleet().await;
     let mut lease_fleet = start(5).await;
     let fleet = &mut lease_fleet.fleet;
     wait_for_takeover(fleet, 0).await;
-    // One of three keepers may fail.
+    // The failure of one of three keepers is tolerated.
     fleet.kill(2);
     let token = holder(fleet).unwrap().token;
     run_for(1.5).await;
@@ -294,9 +294,12 @@
     let successes = events
         .iter()
         .filter(|entry| entry.at > expired_at && is_success(&entry.event));
-    assert!(successes.count() > 20, "requests wait for a lease");
+    assert!(
+        successes.count() > 20,
+        "requests are not served without a lease"
+    );
     load.stop().await;
-    // All keepers restart with the data in their folders, and the tokens continue.
+    // All keepers restart with the data in their folders, so the tokens continue to increase.
     fleet.kill(0);
     for keeper in 0..KEEPER_COUNT {
         fleet.start_node(keeper).await.unwrap();
@@ -324,7 +327,7 @@
     let folder = fleet.folder(1);
     let lease_file = folder.join(LEASE_FILE);
     let backup = std::fs::read(&lease_file).unwrap();
-    // Data is written after the backup.
+    // Handovers make the keeper write data after the backup.
     hand_over(fleet).await;
     while std::fs::read(&lease_file).unwrap().len() == backup.len() {
         hand_over(fleet).await;
@@ -348,7 +351,7 @@
         })
         .await
         .unwrap();
-    // Its vote counts: without the third keeper the lease continues.
+    // Its vote counts: without the third keeper, leases are still granted.
     fleet.kill(2);
     hand_over(fleet).await;
     assert_no_lease_violations(fleet);
--- a/crates/testbed/tests/probers.rs
+++ b/crates/testbed/tests/probers.rs
@@ -1,4 +1,4 @@
-//! Names that tests choose for nodes which are not to probe a server.
+//! Names that tests choose for nodes that must not probe a server.
 
 use reelfall_cluster::entry::ServerInstance;
 use reelfall_cluster::quorum::is_prober;
@@ -6,12 +6,12 @@
 use reelfall_testbed::fleet::server_name;
 
 const NODE_COUNT: usize = 7;
-/// The smallest number of members that a node of this cluster may know of while it has a quorum.
+/// Smallest number of members that a node may consider alive while it has a quorum.
 const MIN_MEMBERS: usize = NODE_COUNT / 2 + 1;
-/// Turns that a test reaches.
+/// Number of turns that a test may reach.
 const TURN_COUNT: u64 = 2;
 
-/// Whether a node of this name probes the server in any of the first turns, however many members it knows of.
+/// Whether a node of this name probes the server in any of the first turns, with any number of live members.
 fn probes(node_name: &str) -> bool {
     let server = ServerInstance {
         name: server_name(0),
@@ -29,6 +29,6 @@
     let names = names_that_never_probe(NODE_COUNT, &nodes, &[0]);
     assert_eq!(names.keys().copied().collect::<Vec<_>>(), nodes);
     assert!(names.values().all(|name| !probes(name)), "{names:?}");
-    // Some of the default names probe, so that the choice makes the difference.
+    // Some of the default names probe, so the choice of names matters.
     assert!(nodes.iter().any(|node| probes(&format!("n{node}"))));
 }
