--- a/crates/distribution/src/downstream_config.rs
+++ b/crates/distribution/src/downstream_config.rs
@@ -1,26 +1,26 @@
-//! How a relay or an author serves its children: limits, budgets and timeouts.
+//! How a relay or a publisher serves its children: limits, budgets and timeouts.
 
 use crate::token_bucket::Budget;
 use crate::Time;
 
-/// How children are served.
+/// Configuration of the sessions with children.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DownstreamConfig {
-    /// Most children at once; further sessions are rejected.
+    /// Maximum number of children; further sessions are rejected.
     pub max_children: usize,
     /// Send budget for a node.
     pub node_budget: Budget,
-    /// Send budget for a relay or an author.
+    /// Send budget for a relay or a publisher.
     pub relay_budget: Budget,
     /// Longest time between two frames to a child, in seconds.
     pub keepalive_interval: Time,
     /// Seconds without a frame after which a child's session ends.
     pub silence_timeout: Time,
-    /// New sessions a second; further ones are rejected.
+    /// Maximum rate of new sessions per second; further ones are rejected.
     pub sessions_per_second: f64,
     /// A rejected child retries after this many seconds at least, and twice as many at most.
     pub min_retry_after: Time,
-    /// A child may send this multiple of its own budget before its session ends.
+    /// A child whose frames exceed this multiple of its own budget loses its session.
     pub receive_budget_factor: f64,
 }
 
@@ -28,7 +28,7 @@
     fn default() -> DownstreamConfig {
         DownstreamConfig {
             max_children: 1024,
-            node_budget: Budget::DOWN,
+            node_budget: Budget::NODE_DOWNLINK,
             relay_budget: Budget::CONTROL,
             keepalive_interval: 2.0,
             silence_timeout: 20.0,
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -4,18 +4,18 @@
 //! "rD" | version | first 8 bytes of BLAKE3 of what follows | head (postcard) | payload (postcard)
 //! ```
 //!
-//! The hash detects truncated and corrupt frames; it does not authenticate, which is up to the driver's transport.
+//! The hash detects truncated and corrupt frames; it does not authenticate them. That is up to the driver's transport.
 
+use crate::close_reason::CloseReason;
 use crate::coverage::{Coverage, Span};
 use crate::epoch::Epoch;
 use crate::frame::MAX_FRAME_BYTES;
 use crate::peer::PeerId;
 use crate::report::Report;
 use crate::resource::{Change, ContentHash, Key, NodeFraction, Selector, Urgency, Version};
-use crate::session_end::CloseReason;
 use serde::{Deserialize, Serialize};
 
-/// Most keys in one [`Payload::Manifest`].
+/// Maximum number of keys in one [`Payload::Manifest`].
 pub const MAX_MANIFEST_KEYS: usize = 256;
 
 const MAGIC: [u8; 3] = *b"rD\x01";
@@ -83,7 +83,8 @@
     pub coverage: Coverage,
     /// The child knows all removals up to this version.
     pub removals_known: Version,
-    /// Whether the child has changes that the selector matches, whatever it covers: it then needs all removals since.
+    /// Whether the child has changes that the selector matches, regardless of its coverage: it then needs all later
+    /// removals.
     pub has_changes: bool,
 }
 
@@ -94,23 +95,23 @@
     Acknowledge,
     /// A child opens a session.
     Open {
-        /// Whether the child is a relay or an author, which needs changes for other nodes, too.
+        /// Whether the child is a relay or a publisher, which also needs changes for other nodes.
         is_relay: bool,
     },
     /// A child adds subscriptions.
     Subscribe(Vec<Subscribe>),
     /// A child ends subscriptions.
     Unsubscribe(Vec<u32>),
-    /// A child reports to the author.
+    /// A child reports to the publisher.
     Reports(Vec<Report>),
     /// The session has ended, or is unknown.
     Close {
         /// Why it ended.
         reason: CloseReason,
-        /// Earliest reconnect, in milliseconds.
+        /// Time after which the child may reconnect, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The term of the current author.
+    /// The term of the current publisher.
     Epoch(Epoch),
     /// Complete changes of a subscription. For each key whose latest change is in the span, this change is included
     /// or was sent before.
@@ -144,8 +145,8 @@
         /// Digests of the keys.
         digests: Vec<u64>,
     },
-    /// Everything that the sender has of all subscriptions was sent.
-    Current {
+    /// The sender has sent everything that it has for all subscriptions.
+    UpToDate {
         /// The last version of the sender.
         head: Version,
         /// All removals up to this version were sent.
@@ -180,7 +181,7 @@
     pub payload: Payload,
 }
 
-/// Decodes a received frame; none if it is invalid.
+/// Decodes a received frame; `None` if it is invalid.
 pub fn parse(from: PeerId, frame: &[u8]) -> Option<Received> {
     let (head, payload) = decode(frame)?;
     Some(Received {
@@ -191,14 +192,14 @@
     })
 }
 
-/// Decodes a frame; none if it is invalid.
+/// Decodes a frame; `None` if it is invalid.
 pub fn decode(frame: &[u8]) -> Option<(Head, Payload)> {
     if frame.len() > MAX_FRAME_BYTES {
         return None;
     }
     let rest = frame.strip_prefix(&MAGIC)?;
-    let (sum, body) = rest.split_at_checked(CHECKSUM_BYTES)?;
-    if &blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] != sum {
+    let (checksum, body) = rest.split_at_checked(CHECKSUM_BYTES)?;
+    if &blake3::hash(body).as_bytes()[..CHECKSUM_BYTES] != checksum {
         return None;
     }
     postcard::from_bytes(body).ok()
--- a/crates/distribution/src/node_status.rs
+++ b/crates/distribution/src/node_status.rs
@@ -1,13 +1,13 @@
-//! What the nodes reported to the author: acknowledged versions and rejected changes.
+//! What the nodes reported to the publisher: acknowledged versions and rejected changes.
 
 use crate::peer::PeerId;
 use crate::resource::{Key, Version};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most nodes that are tracked; reports of others are ignored.
+/// Maximum number of nodes that are tracked; reports of others are ignored.
 pub const MAX_NODES: usize = 16_384;
-/// Most rejections that are retained; beyond it those of the oldest versions are dropped.
+/// Maximum number of rejections that are retained; beyond it those of the oldest versions are dropped.
 pub const MAX_REJECTIONS: usize = 16_384;
 
 /// A change that a node rejected.
@@ -26,7 +26,7 @@
 pub struct NodeStatus {
     /// The node has applied or rejected every change up to this version.
     pub acknowledged: Version,
-    /// When the last report was received, on the author's clock.
+    /// When the last report was received, on the publisher's clock.
     pub last_report_at: Time,
 }
 
--- a/crates/distribution/src/author.rs
+++ b/crates/distribution/src/publisher.rs
@@ -1,14 +1,14 @@
-//! An author: publishes changes while it holds the lease, and serves the first relays.
+//! A publisher: publishes changes while it holds the lease, and serves the first-tier relays.
 //!
 //! | state | ends |
 //! | --- | --- |
-//! | standing by: follows a relay, to replicate what others write | when the lease is held |
-//! | taking over: reads what each first relay has, one after the other | when all have been read; after [`AuthorConfig::takeover_timeout`] |
-//! | writing: serves relays, follows nobody | when the lease ends or is given back; when a later fencing token is seen |
+//! | standby: follows a relay, to replicate the changes of other publishers | when it acquires the lease |
+//! | taking over: reads the changes of the first-tier relays, one relay after the other | when all have been read, or after [`PublisherConfig::takeover_timeout`] |
+//! | publishing: serves relays, and follows no upstream | when the lease ends or is released, or a later fencing token is seen |
 //!
-//! A later author may lack changes that an earlier one wrote just before it was cut off. Relays and nodes report them as
-//! orphans, and the present author overwrites them with its own content. So all replicas converge, and versions only
-//! ever increase.
+//! A later publisher may lack changes that an earlier one published just before it was partitioned. Relays and nodes
+//! report them as orphans, and the current publisher overwrites them with its own content. So all replicas converge,
+//! and versions only ever increase.
 
 mod lease;
 mod orphans;
@@ -17,6 +17,7 @@
 
 pub use rollouts::{RolloutDraft, RolloutStatus};
 
+use crate::close_reason::CloseReason;
 use crate::coverage::Coverage;
 use crate::downstream::Downstream;
 use crate::downstream_config::DownstreamConfig;
@@ -31,7 +32,6 @@
 use crate::report::Report;
 use crate::resource::{ChangeId, Version};
 use crate::restore::RestoredState;
-use crate::session_end::CloseReason;
 use crate::upstream::Upstream;
 use crate::upstream_config::UpstreamConfig;
 use crate::Time;
@@ -39,12 +39,12 @@
 use rollouts::Rollouts;
 use std::collections::BTreeSet;
 
-/// Configuration of an author.
+/// Configuration of a publisher.
 #[derive(Clone, Debug)]
-pub struct AuthorConfig {
-    /// The authors' lease.
+pub struct PublisherConfig {
+    /// The lease under which publishers publish; one of them holds it at a time.
     pub lease: LeaseName,
-    /// How it follows the first relays while it does not write.
+    /// How it follows the first-tier relays while it does not publish.
     pub upstream: UpstreamConfig,
     /// How it serves its children.
     pub downstream: DownstreamConfig,
@@ -52,32 +52,32 @@
     pub capacity: Capacity,
     /// Size of the history for reverts, in bytes.
     pub history_bytes: usize,
-    /// Longest wait for the first relays when taking over, in seconds.
+    /// Maximum time in seconds to read the first-tier relays when it takes over.
     pub takeover_timeout: Time,
-    /// Seed of its random numbers, session ids among them; another one at each start.
+    /// Seed of its random numbers, including session ids; has to differ at each start.
     pub seed: u64,
 }
 
 #[derive(Debug)]
 enum State {
-    StandingBy,
+    Standby,
     TakingOver {
         claim: Claim,
-        until: Time,
+        lease_until: Time,
         deadline: Time,
         caught_up: BTreeSet<PeerId>,
     },
-    Writing {
+    Publishing {
         epoch: Epoch,
-        until: Time,
-        orphans: usize,
+        lease_until: Time,
+        overwritten_orphans: usize,
     },
 }
 
-/// An author: standing by, taking over or writing.
+/// The state machine of a publisher process.
 #[derive(Debug)]
-pub struct Author {
-    config: AuthorConfig,
+pub struct Publisher {
+    config: PublisherConfig,
     state: State,
     replica: Replica,
     downstream: Downstream,
@@ -87,24 +87,24 @@
     clock: Time,
 }
 
-impl Author {
-    /// An author without records.
-    pub fn new(config: AuthorConfig, now: Time) -> Author {
+impl Publisher {
+    /// Creates a publisher with an empty log.
+    pub fn new(config: PublisherConfig, now: Time) -> Publisher {
         let restored = RestoredState::empty(config.capacity);
-        Author::from_restored(config, restored, now)
+        Publisher::from_restored(config, restored, now)
     }
 
-    /// An author from stored records.
+    /// Restores a publisher from its stored records.
     pub fn restore(
-        config: AuthorConfig,
+        config: PublisherConfig,
         records: impl IntoIterator<Item = Record>,
         now: Time,
-    ) -> Author {
+    ) -> Publisher {
         let restored = RestoredState::from_records(config.capacity, records);
-        Author::from_restored(config, restored, now)
+        Publisher::from_restored(config, restored, now)
     }
 
-    fn from_restored(config: AuthorConfig, mut restored: RestoredState, now: Time) -> Author {
+    fn from_restored(config: PublisherConfig, mut restored: RestoredState, now: Time) -> Publisher {
         let upstream = Upstream::new(
             config.upstream.clone(),
             config.lease.clone(),
@@ -118,41 +118,41 @@
         }
         let downstream =
             Downstream::new(config.downstream, crate::random::mix_bits(config.seed), now);
-        let board = NodeStatuses::default();
-        let (state, rollouts) = (State::StandingBy, Rollouts::default());
-        Author {
+        let statuses = NodeStatuses::default();
+        let (state, rollouts) = (State::Standby, Rollouts::default());
+        Publisher {
             state,
             replica,
             downstream,
             history,
-            node_statuses: board,
+            node_statuses: statuses,
             rollouts,
             clock: now,
             config,
         }
     }
 
-    /// The latest changes.
+    /// The latest change of each key.
     pub fn log(&self) -> &ChangeLog {
         &self.replica.log
     }
 
-    /// The versions that are covered.
+    /// The versions that its replica covers.
     pub fn coverage(&self) -> &Coverage {
         self.replica.coverage()
     }
 
-    /// The last version.
+    /// The last version that its replica has.
     pub fn head(&self) -> Version {
         self.replica.head()
     }
 
     /// Whether it holds the lease and can publish.
-    pub fn is_writing(&self) -> bool {
-        matches!(self.state, State::Writing { .. })
+    pub fn is_publishing(&self) -> bool {
+        matches!(self.state, State::Publishing { .. })
     }
 
-    /// The children.
+    /// The peers that have an open session with this process.
     pub fn children(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.downstream.children()
     }
@@ -162,7 +162,7 @@
         self.node_statuses.status(version)
     }
 
-    /// Handles a frame; any bytes are allowed.
+    /// Handles a received frame; invalid frames are ignored.
     pub fn receive(&mut self, now: Time, from: PeerId, frame: &[u8], outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         let Some(received) = message::parse(from, frame) else {
@@ -177,7 +177,7 @@
             }
             return;
         }
-        if !self.is_writing() {
+        if !self.is_publishing() {
             if !matches!(received.payload, Payload::Close { .. }) {
                 self.downstream.reject(
                     now,
@@ -204,7 +204,7 @@
         for ChangeId { key, version } in update.orphans.iter().cloned() {
             outputs.push(Output::Event(Event::Orphaned { key, version }));
         }
-        if update.is_current {
+        if update.is_up_to_date {
             self.relay_caught_up(now, outputs);
         }
     }
@@ -236,19 +236,21 @@
         }
     }
 
-    /// Sends what is due; stands down when the lease ends.
+    /// Sends what is due; steps down once the lease has ended.
     pub fn poll(&mut self, now: Time, outputs: &mut Vec<Output>) {
         self.clock = self.clock.max(now);
         match &self.state {
-            State::TakingOver { until, .. } | State::Writing { until, .. } if now >= *until => {
-                self.stand_down(now, outputs);
+            State::TakingOver { lease_until, .. } | State::Publishing { lease_until, .. }
+                if now >= *lease_until =>
+            {
+                self.step_down(now, outputs);
             }
             State::TakingOver { deadline, .. } if now >= *deadline => {
-                self.begin_writing(now, outputs);
+                self.begin_publishing(now, outputs);
             }
             _ => {}
         }
-        if self.is_writing() {
+        if self.is_publishing() {
             self.check_rollouts(now, outputs);
             let replica = self.replica.view(now).authoritative();
             self.downstream.poll(now, replica, outputs);
@@ -257,19 +259,21 @@
         }
     }
 
-    /// When [`Author::poll`] is to be called.
+    /// When [`Publisher::poll`] has to be called next.
     pub fn next_wakeup(&self) -> Time {
-        let follow = self.replica.upstream.next_wakeup(self.clock);
+        let upstream_wakeup = self.replica.upstream.next_wakeup(self.clock);
         match &self.state {
-            State::StandingBy => follow,
+            State::Standby => upstream_wakeup,
             State::TakingOver {
-                until, deadline, ..
-            } => follow.min(*until).min(*deadline),
-            State::Writing { until, .. } => self
+                lease_until,
+                deadline,
+                ..
+            } => upstream_wakeup.min(*lease_until).min(*deadline),
+            State::Publishing { lease_until, .. } => self
                 .downstream
                 .next_wakeup()
                 .min(self.rollouts.next_check_at())
-                .min(*until),
+                .min(*lease_until),
         }
     }
 }
--- a/crates/distribution/src/author/rollouts.rs
+++ b/crates/distribution/src/publisher/rollouts.rs
@@ -1,4 +1,4 @@
-//! Staged rollouts at the author.
+//! Staged rollouts of a publisher.
 //!
 //! | the log has | the rollout |
 //! | --- | --- |
@@ -7,14 +7,15 @@
 //! | a later stable change with another content, or another canary | is superseded |
 //! | no canary | was ended |
 //!
-//! So an operator ends a rollout by [`Author::promote_canary`] or [`Author::revert`] as with any canary, and an author that
-//! takes over continues from its log. Counts and soak times start again there, since they are on another clock.
+//! So an operator ends a rollout by [`Publisher::promote_canary`] or [`Publisher::revert`] as with any canary, and a
+//! publisher that takes over continues from its log. Counts and soak times start again there, since they are measured
+//! on another clock.
 
 mod advance;
 mod start;
 mod takeover;
 
-use super::Author;
+use super::Publisher;
 use crate::log::ChangeLog;
 use crate::peer::PeerId;
 use crate::resource::{Change, Content, Key, Name, Slot, Version};
@@ -26,7 +27,7 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Most records of ended rollouts; beyond it the oldest are removed.
+/// Maximum number of records of ended rollouts; beyond it the oldest are removed.
 pub const MAX_ENDED_RECORDS: usize = 64;
 /// Interval in seconds at which a stage is checked after its soak time: reports age without any event.
 pub const STAGE_CHECK_INTERVAL: Time = 1.0;
@@ -38,9 +39,9 @@
     pub name: Name,
     /// Its new content; a removal cannot be rolled out.
     pub content: Content,
-    /// Order of the nodes, as [`crate::resource::NodeFraction::seed`].
+    /// Seed of the order in which nodes are included, as in [`crate::resource::NodeFraction::seed`].
     pub seed: u64,
-    /// The policy.
+    /// When the rollout advances, and when it stops.
     pub policy: RolloutPolicy,
 }
 
@@ -51,11 +52,11 @@
     pub record: RolloutRecord,
     /// The current stage, in thousandths of the nodes; none once the rollout has ended.
     pub thousandths: Option<u16>,
-    /// What the nodes of the stage reported to this author.
+    /// What the nodes of the stage reported to this publisher.
     pub counts: StageCounts,
     /// Why the stage does not advance yet; none if the rollout has ended or halted, or advances with the next poll.
-    pub waiting: Option<AdvanceBlocker>,
-    /// The nodes that rejected the change, as reported to this author.
+    pub blocker: Option<AdvanceBlocker>,
+    /// The nodes that rejected the change, as reported to this publisher.
     pub rejecting_nodes: Vec<RejectingNode>,
 }
 
@@ -64,18 +65,18 @@
 struct CurrentStage {
     /// The version of its canary.
     version: Version,
-    /// When it began, on this author's clock.
+    /// When it began, on this publisher's clock.
     began_at: Time,
 }
 
-/// A rollout at the author that writes.
+/// A rollout of the active publisher.
 #[derive(Debug)]
 struct Rollout {
     record: RolloutRecord,
     /// The current stage, once it has been checked.
     stage: Option<CurrentStage>,
     counts: StageCounts,
-    waiting: Option<AdvanceBlocker>,
+    blocker: Option<AdvanceBlocker>,
     rejecting_nodes: RejectingNodes,
 }
 
@@ -86,7 +87,7 @@
             record,
             stage: None,
             counts,
-            waiting: None,
+            blocker: None,
             rejecting_nodes,
         }
     }
@@ -101,10 +102,10 @@
             soak_time: soak,
             ..
         } = self.record.policy;
-        let moments = [stage.began_at + decision_time, stage.began_at + soak];
-        moments
+        let deadlines = [stage.began_at + decision_time, stage.began_at + soak];
+        deadlines
             .into_iter()
-            .find(|moment| *moment > now)
+            .find(|deadline| *deadline > now)
             .unwrap_or(now + STAGE_CHECK_INTERVAL)
     }
 
@@ -121,13 +122,13 @@
     }
 }
 
-/// The rollouts of the author that writes.
+/// The rollouts of the active publisher.
 #[derive(Debug)]
 pub(super) struct Rollouts {
     by_name: BTreeMap<Name, Rollout>,
     next_check_at: Time,
-    /// When the author began to write.
-    writing_since: Time,
+    /// When the publisher began to publish.
+    publishing_since: Time,
 }
 
 impl Default for Rollouts {
@@ -135,20 +136,20 @@
         Rollouts {
             by_name: BTreeMap::new(),
             next_check_at: f64::INFINITY,
-            writing_since: f64::INFINITY,
+            publishing_since: f64::INFINITY,
         }
     }
 }
 
 impl Rollouts {
-    /// Checks the rollouts with the next poll.
-    pub fn check_at(&mut self, now: Time) {
+    /// Schedules a check of the rollouts for the next poll.
+    pub fn schedule_check(&mut self, now: Time) {
         if !self.by_name.is_empty() {
             self.next_check_at = self.next_check_at.min(now);
         }
     }
 
-    /// When the rollouts are to be checked.
+    /// When the rollouts have to be checked next.
     pub fn next_check_at(&self) -> Time {
         self.next_check_at
     }
@@ -192,7 +193,7 @@
     }
 }
 
-/// State of a rollout by the log.
+/// Progress of a rollout, derived from the log.
 enum RolloutProgress<'a> {
     Stage { canary: &'a Change, index: usize },
     Promoted,
@@ -232,8 +233,8 @@
     }
 }
 
-impl Author {
-    /// The status of a resource's last rollout. An author that does not write knows the stored record only.
+impl Publisher {
+    /// The status of a resource's last rollout. A publisher that is not active knows only the stored record.
     pub fn rollout(&self, name: &Name) -> Option<RolloutStatus> {
         let Some(rollout) = self.rollouts.by_name.get(name) else {
             let record = RolloutRecord::from_change(self.log().get(&RolloutRecord::key_of(name))?)?;
@@ -255,7 +256,7 @@
             record,
             thousandths,
             counts: rollout.counts,
-            waiting: rollout.waiting,
+            blocker: rollout.blocker,
             rejecting_nodes,
         }
     }
--- a/crates/distribution/src/resource.rs
+++ b/crates/distribution/src/resource.rs
@@ -9,7 +9,7 @@
 pub const MAX_NAME_BYTES: usize = 64;
 /// Longest body, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The fraction that has all nodes, in thousandths.
+/// The fraction that contains all nodes, in thousandths.
 pub const ALL_NODES_THOUSANDTHS: u16 = 1000;
 
 /// Why a name is invalid.
@@ -19,8 +19,8 @@
     #[error("a resource's name is empty")]
     Empty,
     /// It is too long.
-    #[error("a resource's name has {MAX_NAME_BYTES} bytes at most")]
-    Long,
+    #[error("a resource's name exceeds {MAX_NAME_BYTES} bytes")]
+    TooLong,
 }
 
 /// The group that a resource belongs to; nodes subscribe by group.
@@ -30,10 +30,10 @@
     Common,
     /// Settings, routes and servers of one service.
     Service(Arc<str>),
-    /// Settings of one tenant, to which a node subscribes when it first meets the tenant.
+    /// Settings of one tenant, to which a node subscribes with the first request of the tenant.
     Tenant(Arc<str>),
-    /// Resources of authors: relays and authors hold them, nodes do not.
-    Authors,
+    /// Records that publishers keep for their successors: publishers and relays hold them, nodes do not.
+    Publishers,
 }
 
 /// The name of a resource.
@@ -48,7 +48,7 @@
 fn check(text: &str) -> Result<(), InvalidName> {
     match text.len() {
         0 => Err(InvalidName::Empty),
-        n if n > MAX_NAME_BYTES => Err(InvalidName::Long),
+        n if n > MAX_NAME_BYTES => Err(InvalidName::TooLong),
         _ => Ok(()),
     }
 }
@@ -85,7 +85,7 @@
     pub fn check(&self) -> Result<(), InvalidName> {
         check(&self.item)?;
         match &self.group {
-            Group::Common | Group::Authors => Ok(()),
+            Group::Common | Group::Publishers => Ok(()),
             Group::Service(text) | Group::Tenant(text) => check(text),
         }
     }
@@ -94,7 +94,7 @@
 /// The resources of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Selector {
-    /// All resources, for relays and authors.
+    /// All resources, for relays and publishers.
     Everything,
     /// Common resources and all services, without tenants, for nodes that serve everything.
     Services,
@@ -131,20 +131,20 @@
     pub fn matches(&self, group: &Group) -> bool {
         match self {
             Selector::Everything => true,
-            Selector::Services => !matches!(group, Group::Tenant(_) | Group::Authors),
-            Selector::Group(own) => own == group,
+            Selector::Services => !matches!(group, Group::Tenant(_) | Group::Publishers),
+            Selector::Group(selected) => selected == group,
         }
     }
 }
 
-/// The version of a change: its author's fencing token, then the author's sequence number; ordered in this order.
+/// The version of a change: its publisher's fencing token, then the publisher's sequence number; ordered in this order.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
     /// The fencing token.
     pub token: u64,
-    /// The author's sequence number, from 1.
+    /// The publisher's sequence number, from 1.
     pub sequence: u64,
 }
 
@@ -229,7 +229,7 @@
     }
 }
 
-/// Priority of a change where a link's budget is exhausted.
+/// Priority of a change while a link's budget is exhausted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -244,9 +244,9 @@
 /// A fraction of the nodes. A greater fraction with the same seed contains the smaller ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeFraction {
-    /// Nodes in a thousand.
+    /// Number of nodes in a thousand.
     pub thousandths: u16,
-    /// Order of the nodes.
+    /// Seed of the order in which nodes are included.
     pub seed: u64,
 }
 
@@ -262,13 +262,13 @@
         if self.thousandths >= ALL_NODES_THOUSANDTHS {
             return true;
         }
-        let place = crate::random::mix_bits(self.seed ^ (u64::from(node.0) << 20))
+        let rank = crate::random::mix_bits(self.seed ^ (u64::from(node.0) << 20))
             % u64::from(ALL_NODES_THOUSANDTHS);
-        place < u64::from(self.thousandths)
+        rank < u64::from(self.thousandths)
     }
 }
 
-/// A change that an author is asked to publish.
+/// A change that a publisher is asked to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Draft {
     /// The resource.
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The same with urgent priority.
+    /// The same change with urgent priority.
     pub fn urgent(self) -> Draft {
         Draft {
             urgency: Urgency::Urgent,
@@ -318,7 +318,7 @@
     pub urgency: Urgency,
     /// The nodes that it is for.
     pub fraction: NodeFraction,
-    /// The version of the change that it replaced at its author; [`Version::ZERO`] if there was none.
+    /// The version of the change that it replaced at its publisher; [`Version::ZERO`] if there was none.
     pub replaces: Version,
     /// The new content.
     pub content: Content,
@@ -338,7 +338,7 @@
     /// Its approximate size in memory and in a frame, in bytes.
     pub fn size_bytes(&self) -> usize {
         let group = match &self.key.name.group {
-            Group::Common | Group::Authors => 0,
+            Group::Common | Group::Publishers => 0,
             Group::Service(text) | Group::Tenant(text) => text.len(),
         };
         CHANGE_OVERHEAD_BYTES + group + self.key.name.item.len() + self.content.bytes().len()
@@ -370,5 +370,5 @@
     pub version: Version,
 }
 
-/// Bytes of a change beside its names and its body.
+/// Size of a change without its names and its body, in bytes.
 pub const CHANGE_OVERHEAD_BYTES: usize = 96;
--- a/crates/distribution/src/restore.rs
+++ b/crates/distribution/src/restore.rs
@@ -16,14 +16,14 @@
     pub removals_known: Version,
 }
 
-/// The state that the records give.
+/// The state of a process, rebuilt from its records.
 #[derive(Debug)]
 pub struct RestoredState {
     /// The latest changes.
     pub log: ChangeLog,
     /// The coverage of each selector.
     pub coverage: BTreeMap<Selector, StoredCoverage>,
-    /// The term of the last known author.
+    /// The term of the last known publisher.
     pub epoch: Option<Epoch>,
     /// The changes that a node had applied.
     pub applied: BTreeMap<Name, Change>,
@@ -32,7 +32,7 @@
 }
 
 impl RestoredState {
-    /// The state without any records.
+    /// The state of a process that has no records.
     pub fn empty(capacity: Capacity) -> RestoredState {
         RestoredState {
             log: ChangeLog::new(capacity),
@@ -43,8 +43,8 @@
         }
     }
 
-    /// From records in the order in which they were stored. Invalid ones are skipped, since a disk may return
-    /// anything.
+    /// Rebuilds the state from records in the order in which they were stored. Invalid ones are skipped, since a disk
+    /// may return corrupt data.
     pub fn from_records(
         capacity: Capacity,
         records: impl IntoIterator<Item = Record>,
--- a/crates/distribution/src/subscriber/receive.rs
+++ b/crates/distribution/src/subscriber/receive.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of a subscriber's upstream.
+//! Handles the messages that a subscriber receives from its upstream.
 
 use super::{Subscriber, COVERAGE_STORE_INTERVAL};
 use crate::coverage::Coverage;
@@ -47,8 +47,8 @@
             }) => {
                 self.apply_manifest(&selector, removals_known, &digests, outputs);
             }
-            Some(UpstreamEvent::Current { head, age, .. }) => {
-                self.apply_current(now, head, age, outputs);
+            Some(UpstreamEvent::UpToDate { head, age, .. }) => {
+                self.apply_up_to_date(now, head, age, outputs);
             }
         }
     }
@@ -77,7 +77,7 @@
         self.epoch = Some(epoch);
     }
 
-    /// What at least one subscription covers.
+    /// The versions that at least one subscription covers.
     pub(super) fn combined_coverage(&self) -> Coverage {
         let mut covered = Coverage::EMPTY;
         for span in self
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Forgets a pruned tombstone.
+    /// Records that a tombstone was pruned, and reconciles its resource.
     pub(super) fn forget_tombstone(&mut self, key: &Key, outputs: &mut Vec<Output>) {
         outputs.push(Output::Persist(Record::Forget(key.clone())));
         self.reconcile(&key.name, outputs);
@@ -137,7 +137,7 @@
         self.upstream.mark_removals_known(selector, removals_known);
     }
 
-    pub(super) fn apply_current(
+    pub(super) fn apply_up_to_date(
         &mut self,
         now: Time,
         head: Version,
@@ -145,7 +145,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if let Some(age) = age {
-            self.last_current = Some(KnownAge { at: now, age });
+            self.last_up_to_date = Some(KnownAge { at: now, age });
             self.head = self.head.max(head);
         }
         let store_all = now >= self.stored_at + COVERAGE_STORE_INTERVAL;
--- a/crates/distribution/tests/protocol_violations/scripted_relay.rs
+++ b/crates/distribution/tests/protocol_violations/scripted_relay.rs
@@ -1,16 +1,16 @@
 //! The relay's side of a node's session, with payloads chosen by the test.
 
 use crate::world::payloads::subscriber;
+use reelfall_distribution::close_reason::CloseReason;
 use reelfall_distribution::message::{decode, encode, Head, Payload};
 use reelfall_distribution::output::{Event, Output};
 use reelfall_distribution::peer::PeerId;
-use reelfall_distribution::session_end::CloseReason;
 use reelfall_distribution::subscriber::Subscriber;
 use reelfall_distribution::Time;
 
 /// The number of a payload that is not retransmitted.
 pub const UNNUMBERED: u64 = 0;
-/// Between two payloads, in seconds.
+/// Time between two payloads, in seconds.
 pub const SEND_INTERVAL: Time = 2.0;
 const RELAYS: [PeerId; 2] = [PeerId(20), PeerId(21)];
 
@@ -26,7 +26,7 @@
 }
 
 impl ScriptedRelay {
-    /// After the node has opened a session and sent its subscription.
+    /// A relay to which the node has opened a session and sent its subscription.
     pub fn new() -> ScriptedRelay {
         let mut node = subscriber(RELAYS.to_vec());
         let mut outputs = Vec::new();
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line: parses the arguments, runs the command and sets the exit code. Called by the program's `main`.
+//! The command line: parses the arguments, runs the command and returns the exit code. Called by the program's `main`.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `args` | the arguments |
-//! | `routes` | the route that a request would take |
+//! | `routes` | the command `routes`, which looks up the route of a request |
 
 mod args;
 mod routes;
@@ -14,17 +14,17 @@
 use args::{Cli, Command, FleetCommand, ManagementTarget};
 use clap::Parser;
 use reelfall_admin::request::{FleetRequest, ManagementRequest};
-use reelfall_config::Faults;
+use reelfall_config::ConfigErrors;
 use routes::RouteError;
 use std::ffi::OsString;
 use std::path::Path;
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code for invalid arguments.
+/// The exit code for invalid arguments, as clap's own.
 const INVALID_ARGUMENTS: u8 = 2;
 
-/// Why a command fails. The text is what the program prints.
+/// The error of a command, with the text that is printed on standard error.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("reelfall: {0}")]
@@ -32,17 +32,17 @@
     #[error("{0}\nreelfall: not started")]
     Standalone(#[from] StandaloneError),
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     #[error(transparent)]
     Route(#[from] RouteError),
 }
 
-/// Runs the program with its arguments, the first being its own name.
+/// Runs the program with these arguments, of which the first is the program's name.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(error) => {
-            // Nothing is left to do if even that can't be written.
+            // A failure to write to standard output or error can't be reported anywhere.
             let _ = error.print();
             let code = u8::try_from(error.exit_code()).unwrap_or(INVALID_ARGUMENTS);
             return ExitCode::from(code);
@@ -108,12 +108,12 @@
     send(&target, &ManagementRequest::Fleet(request))
 }
 
-/// Checks a settings file, and prints how much is in it.
-fn check(file: &Path) -> Result<(), Faults> {
+/// Validates a settings file, and prints its number of services and routes.
+fn check(file: &Path) -> Result<(), ConfigErrors> {
     let plan = reelfall_config::load(file)?;
-    let (services, routes) = (plan.model.services.len(), plan.matches.len());
+    let (services, routes) = (plan.model.services.len(), plan.route_conditions.len());
     println!(
-        "{}: {services} services, {routes} routes, nothing wrong",
+        "{}: {services} services, {routes} routes, no errors",
         file.display()
     );
     Ok(())
--- a/crates/node/src/cli/routes.rs
+++ b/crates/node/src/cli/routes.rs
@@ -1,20 +1,20 @@
-//! The command that looks up the route of a request in a settings file, and explains why it wins over others.
+//! The command that looks up the route of a request in a settings file, and explains why it takes precedence over others.
 
 use super::args::RouteArgs;
-use reelfall_config::{Faults, Plan};
+use reelfall_config::{ConfigErrors, Plan};
 use reelfall_routing::table::{ListenerId, RouteConditions, RouteQuery};
 use reelfall_routing::target;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why there is no route to print. The text is what the program prints.
+/// Why the lookup fails, with the text that is printed on standard error.
 #[derive(Debug, Error)]
 pub enum RouteError {
     /// The settings file is unusable.
     #[error(transparent)]
-    Settings(#[from] Faults),
+    Settings(#[from] ConfigErrors),
     /// The file has no such listener.
-    #[error("{file}: there is no listener `{name}`", file = file.display())]
+    #[error("{file}: no listener is named `{name}`", file = file.display())]
     UnknownListener {
         /// The settings file.
         file: PathBuf,
@@ -25,11 +25,11 @@
     #[error("400: {0}")]
     InvalidTarget(#[from] target::TargetError),
     /// No route matches the request.
-    #[error("404: no route fits")]
+    #[error("404: no route matches")]
     NoRoute,
 }
 
-/// Looks up the route of a request, and prints it with the routes that it wins over.
+/// Looks up the route of a request, and prints it with the matching routes that it takes precedence over.
 ///
 /// # Errors
 /// If the settings file is unusable, or a node would reject the request.
@@ -48,7 +48,7 @@
         method: &args.method,
         class: args.class.as_deref(),
     };
-    let route = plan.table.find(&query).ok_or(RouteError::NoRoute)?;
+    let route = plan.route_table.find(&query).ok_or(RouteError::NoRoute)?;
     print_candidates(&plan, &query, route);
     Ok(())
 }
@@ -67,25 +67,31 @@
 }
 
 fn print_candidates(plan: &Plan, query: &RouteQuery, route: usize) {
-    let mut candidates = plan.candidates(query).into_iter();
+    let mut candidates = plan.matching_routes(query).into_iter();
     let winner = candidates.next().unwrap_or(route);
     println!("{}", describe(plan, winner));
     for loser in candidates {
-        let reason = match (plan.matches.get(winner), plan.matches.get(loser)) {
+        let reason = match (
+            plan.route_conditions.get(winner),
+            plan.route_conditions.get(loser),
+        ) {
             (Some(winner), Some(loser)) => reason_to_win(winner, loser),
             _ => "",
         };
-        println!("  before {}: {reason}", describe(plan, loser));
+        println!(
+            "  takes precedence over {}: {reason}",
+            describe(plan, loser)
+        );
     }
 }
 
-/// Describes a route: its service, the class that it assigns, where it is in the file, and what it matches.
+/// Describes a route: its service, the class that it assigns, its position in the file, and its conditions.
 fn describe(plan: &Plan, route: usize) -> String {
-    let goal = plan.goals.get(route);
+    let goal = plan.route_targets.get(route);
     let service = goal.and_then(|goal| plan.model.services.get(goal.service));
-    let class = goal.and_then(|goal| service?.classes.get(usize::from(goal.assign?)));
-    let origin = plan.origin(route).map(ToString::to_string);
-    let matched = plan.matches.get(route).map(ToString::to_string);
+    let class = goal.and_then(|goal| service?.classes.get(usize::from(goal.assigned_class?)));
+    let origin = plan.route_origin(route).map(ToString::to_string);
+    let matched = plan.route_conditions.get(route).map(ToString::to_string);
     let name = service.map_or("", |service| &service.name);
     let class = class.map(|class| format!(" as class {}", class.name));
     format!(
@@ -96,13 +102,13 @@
     )
 }
 
-/// The first criterion by which a route is more specific than another.
+/// The first criterion by which `winner` is more specific than `loser`.
 fn reason_to_win(winner: &RouteConditions, loser: &RouteConditions) -> &'static str {
     let (winner, loser) = (winner.specificity(), loser.specificity());
     if winner.names_listener != loser.names_listener {
         "its listener is named"
     } else if winner.host != loser.host {
-        "its host is more special"
+        "its host is more specific"
     } else if winner.path_segments != loser.path_segments {
         "its path is longer"
     } else if winner.names_methods != loser.names_methods {
--- a/crates/registry-client/tests/roster/main.rs
+++ b/crates/registry-client/tests/roster/main.rs
@@ -1,8 +1,10 @@
-//! The servers of a roster: validation of entries, conflicts between them, and delays of servers that flap.
+//! The listed servers: validation of entries, conflicts between them, and delayed returns of servers that flap.
 
 mod random;
 
-use reelfall_registry_client::entry::{parse, without_sequence, Entry, EntryError, MAX_DATA_LEN};
+use reelfall_registry_client::entry::{
+    parse, strip_sequence_suffix, Entry, EntryError, MAX_DATA_LEN,
+};
 use reelfall_registry_client::roster::{
     Change, Roster, RosterSizes, FLAP_WINDOW, INITIAL_RETURN_DELAY, MAX_FLAP_RECORDS,
     MAX_RETURN_DELAY,
@@ -28,7 +30,7 @@
     names
 }
 
-/// Parses an entry that the registry made 50 s after the epoch, 50 s ago.
+/// Parses the data of an entry that was created at 50 s of Unix time; the time is 100 s.
 fn parse_entry(data: &str) -> Result<Entry, EntryError> {
     let stat = Stat {
         ctime: 50_000,
@@ -52,7 +54,8 @@
         (entry.zone.as_deref(), entry.kind.as_deref(), entry.draining),
         (Some("z"), Some("big"), false)
     );
-    // A missing start time is that of the registry; one in the future is the present time.
+    // Without a start time, the time of the entry's creation is used; a start time in the future becomes the present
+    // time.
     assert_eq!(
         parse_entry(r#"{"address":"127.0.0.1","port":9000}"#)
             .unwrap()
@@ -133,7 +136,7 @@
         ("é0000000001", "é"),
         ("short", "short"),
     ] {
-        assert_eq!(without_sequence(child), name);
+        assert_eq!(strip_sequence_suffix(child), name);
     }
 }
 
@@ -158,7 +161,7 @@
             assert_eq!(roster.take_changes(), [], "return {returns} is not delayed");
             roster.tick(now + return_delay * 0.9);
             assert_eq!(roster.take_changes(), []);
-            // Further removals and returns in the meantime change nothing.
+            // Further removals and updates during the delay change nothing.
             for _ in 0..100 {
                 roster.remove(now, "c");
                 zxid += 1;
--- a/crates/testbed/src/soak/ejections.rs
+++ b/crates/testbed/src/soak/ejections.rs
@@ -19,7 +19,7 @@
 /// Text that follows the server's name in the log line of an ejection.
 const EJECTED: &str = "is ejected, a quorum";
 /// Text in a node's answer about a server that it has ejected.
-const EXPLAINED_AS_EJECTED: &str = "fails several nodes";
+const EXPLAINED_AS_EJECTED: &str = "ejected by a quorum of nodes";
 /// Pause between two polls of a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A response that takes longer is late: the latency objective of the services of a fleet.
