--- a/crates/testbed/src/registry/acl.rs
+++ b/crates/testbed/src/registry/acl.rs
@@ -1,4 +1,4 @@
-//! Access lists of entries, and the identities that they grant permissions to.
+//! Access control lists (ACLs) of entries, and the client identities that they grant permissions to.
 //!
 //! Source: ZooKeeper Programmer's Guide, "Access Control".
 
@@ -8,19 +8,19 @@
 use sha1::{Digest, Sha1};
 use std::net::IpAddr;
 
-/// One rule of an access list: an identity may use permissions.
+/// One rule of an access list: the permissions that it grants to an identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccessRule {
-    /// Permissions, as bits: read 1, write 2, create 4, delete 8, admin 16.
+    /// Permission bits: read 1, write 2, create 4, delete 8, admin 16.
     pub permissions: i32,
-    /// Scheme of the identity: `world`, `digest`, `ip` or another one.
+    /// Authentication scheme of the identity, such as `world`, `digest` or `ip`.
     pub scheme: String,
-    /// Id within the scheme.
+    /// Identifier within the scheme.
     pub id: String,
 }
 
 impl AccessRule {
-    /// A rule for an identity.
+    /// Creates a rule that grants `permissions` to the identity `scheme:id`.
     pub fn new(permissions: i32, scheme: &str, id: &str) -> AccessRule {
         AccessRule {
             permissions,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Everybody may use all permissions.
+    /// A rule that grants all permissions to everyone.
     pub(super) fn open() -> AccessRule {
         AccessRule::new(permission::ALL, "world", "anyone")
     }
 
-    /// Whether the rule grants one of these permissions to a client with these identities.
+    /// Whether the rule grants at least one of `permissions` to a client with these identities.
     pub(super) fn grants(&self, permissions: i32, identities: &[Identity]) -> bool {
         let is_anyone = self.scheme == "world" && self.id == "anyone";
         let is_granted = |identity: &Identity| {
@@ -44,7 +44,7 @@
     }
 }
 
-/// An identity that a client has proved.
+/// An identity as which a client has authenticated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
     pub(super) scheme: String,
@@ -52,24 +52,25 @@
 }
 
 impl Identity {
-    /// The part of the id that is no secret.
+    /// The user name, without the password hash.
     pub(super) fn user(&self) -> &str {
         user(&self.id)
     }
 }
 
-/// The part of an id of the scheme `digest` before its hash.
+/// The user name in an id of the scheme `digest`, which is `name:hash`.
 pub(super) fn user(id: &str) -> &str {
     id.split(':').next().unwrap_or_default()
 }
 
-/// The id in the scheme `digest` of a client that authenticates with `proof`, which is `name:password`.
-pub fn digest_id(proof: &str) -> String {
-    let hash = base64::engine::general_purpose::STANDARD.encode(Sha1::digest(proof.as_bytes()));
-    format!("{}:{hash}", user(proof))
+/// The `digest` id of a client that authenticates with `credentials`, which is `name:password`.
+pub fn digest_id(credentials: &str) -> String {
+    let hash =
+        base64::engine::general_purpose::STANDARD.encode(Sha1::digest(credentials.as_bytes()));
+    format!("{}:{hash}", user(credentials))
 }
 
-/// Reads an access list. A rule with the scheme `auth` is replaced by one for each identity of the client.
+/// Decodes an access list. A rule with the scheme `auth` is expanded to one rule for each identity of the client.
 pub(super) fn read_acl(
     reader: &mut Reader<'_>,
     identities: &[Identity],
@@ -83,7 +84,7 @@
             id: reader.text()?,
         };
         if rule.scheme == "auth" {
-            acl.extend(rules_of_client(rule.permissions, identities)?);
+            acl.extend(expand_auth_rule(rule.permissions, identities)?);
         } else if is_valid(&rule) {
             acl.push(rule);
         } else {
@@ -96,8 +97,8 @@
     Ok(acl)
 }
 
-/// A rule for each identity of a client, except those by address.
-fn rules_of_client(
+/// Expands an `auth` rule: one rule for each identity of the client, except those of the scheme `ip`.
+fn expand_auth_rule(
     permissions: i32,
     identities: &[Identity],
 ) -> Result<Vec<AccessRule>, ErrorCode> {
--- a/crates/testbed/src/registry/connections.rs
+++ b/crates/testbed/src/registry/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients to members: frames are read, handled in order, and responses written.
+//! Client connections to registry members: reads frames, handles them in order and writes the responses.
 
 use super::jute::FRAME_HEADER_BYTES;
 use super::requests::{self, Handled};
@@ -13,14 +13,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Longest request, in bytes.
+/// Maximum length of a request frame, in bytes.
 const MAX_FRAME_LEN: usize = (1 << 20) + (64 << 10);
-/// Time for the response to a four-letter command to be written before the connection is closed.
+/// Delay before the connection closes after a four-letter command, so that the response can be written.
 const COMMAND_CLOSE_DELAY: Duration = Duration::from_millis(50);
-/// Time for the last response to be written before the connection is closed.
+/// Delay before the connection closes after its last response, so that the response can be written.
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts the connections of a member, for as long as it is polled.
+/// Accepts client connections to a member, for as long as the future is polled.
 pub(super) async fn accept(listener: TcpListener, member: usize, state: Arc<Mutex<RegistryState>>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Removes a connection from the state when it ends, however it does.
+/// Removes a connection from the state when dropped, however the connection ended.
 struct ConnectionGuard {
     state: Arc<Mutex<RegistryState>>,
     id: ConnectionId,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Writes frames to a client, later by the member's response delay.
+/// Writes frames to a client, each after the member's response delay.
 struct ResponseWriter {
     state: Arc<Mutex<RegistryState>>,
     member: usize,
@@ -121,20 +121,20 @@
     }
 }
 
-/// What the bytes received so far begin with.
+/// What the receive buffer starts with.
 enum Input {
-    /// No whole frame yet.
+    /// Less than a complete frame.
     Incomplete,
-    /// A frame, without its length.
+    /// A frame, without its length prefix.
     Frame(Bytes),
-    /// A four-letter command, and the response to it.
+    /// A four-letter command; holds the response to it.
     Command(Bytes),
-    /// A frame that is too long.
+    /// A frame longer than [`MAX_FRAME_LEN`].
     TooLong,
 }
 
 impl Input {
-    /// Takes the next input from the buffer.
+    /// Removes the next frame from the buffer, or classifies what is there instead.
     fn take(buffer: &mut BytesMut) -> Input {
         let Some(header) = buffer.first_chunk::<FRAME_HEADER_BYTES>() else {
             return Input::Incomplete;
@@ -155,18 +155,18 @@
     }
 }
 
-/// Handles the requests of a client, one after another.
+/// Handles the requests on a connection sequentially.
 struct RequestHandler {
     state: Arc<Mutex<RegistryState>>,
     id: ConnectionId,
     is_frozen: watch::Receiver<bool>,
     applied_zxid: watch::Receiver<i64>,
-    /// The first frame, which opens or resumes a session, has been handled.
+    /// Whether the first frame, which opens or resumes a session, has been handled.
     has_session: bool,
 }
 
 impl RequestHandler {
-    /// Returns when the connection is to be closed.
+    /// Handles frames until the connection has to be closed.
     async fn run(mut self, mut socket: OwnedReadHalf) {
         let mut buffer = BytesMut::new();
         loop {
@@ -208,7 +208,7 @@
             return ControlFlow::Break(());
         };
         self.has_session = true;
-        // A write is answered once this member has applied it.
+        // The response to a write waits until this member has applied the write.
         let is_applied = |applied: &i64| *applied >= required_zxid;
         if self.applied_zxid.wait_for(is_applied).await.is_err() {
             return ControlFlow::Break(());
--- a/crates/testbed/src/registry/control.rs
+++ b/crates/testbed/src/registry/control.rs
@@ -1,7 +1,7 @@
-//! Faults of a registry over HTTP, for the demo and for other processes.
+//! HTTP interface that injects faults into a registry, for the demo and for other processes.
 //!
 //! `GET /state`; `POST /kill?session=ID`, `/freeze?member=1&on=1`, `/drop?member=1&on=1`, `/delay?member=1&ms=50`,
-//! `/lag?member=1&ms=50`, `/lose?watches=3`. Members count from 1, as they are named.
+//! `/lag?member=1&ms=50`, `/lose?watches=3`. Members are numbered from 1.
 
 use super::Registry;
 use crate::Result;
@@ -19,10 +19,10 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Serves for as long as it is polled.
+/// Serves the control interface for as long as the future is polled.
 ///
 /// # Errors
-/// Fails if the listener does.
+/// Fails if accepting a connection fails.
 pub async fn serve(listener: TcpListener, registry: Arc<Registry>) -> Result<()> {
     let mut connections = tokio::task::JoinSet::new();
     loop {
@@ -54,7 +54,7 @@
     Ok(response)
 }
 
-/// The query of a request.
+/// The query parameters of a request.
 struct Query {
     parameters: HashMap<String, String>,
 }
@@ -72,7 +72,7 @@
         self.parameters.get(name)?.parse().ok()
     }
 
-    /// The index of a member, from 0.
+    /// The parameter `member` as an index that starts at 0.
     fn member(&self) -> Option<usize> {
         usize::try_from(self.number("member")? - 1).ok()
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Carries a request out; `None` if it is unknown or lacks a parameter.
+/// Executes a control request; `None` if the path is unknown or a parameter is missing or invalid.
 fn execute(registry: &Registry, request: &Request<Incoming>) -> Option<Value> {
     let query = Query::parse(request);
     match (request.method(), request.uri().path()) {
--- a/crates/testbed/src/registry/entries.rs
+++ b/crates/testbed/src/registry/entries.rs
@@ -1,4 +1,4 @@
-//! Direct access of tests to the entries and sessions of a registry, without a client.
+//! Direct access to the entries and sessions of a registry for tests, without a client connection.
 
 use super::acl::AccessRule;
 use super::state::lock;
@@ -6,17 +6,17 @@
 use super::Registry;
 use std::time::Duration;
 
-/// The session of entries that have none.
+/// Owner of persistent entries, which belong to no session.
 const NO_SESSION: i64 = 0;
-/// The connection of a session that has none.
+/// Connection id of a session without a connection.
 const NO_CONNECTION: u64 = 0;
 
-/// An entry as it was when a test read it.
+/// A copy of an entry at the time of the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySnapshot {
-    /// Its data.
+    /// Data of the entry.
     pub data: Vec<u8>,
-    /// The session that owns it; 0 for a persistent entry.
+    /// Id of the session that owns the entry; 0 for a persistent entry.
     pub owner: i64,
 }
 
@@ -25,14 +25,14 @@
         lock(&self.state).tree.entries.get(path).map(read)
     }
 
-    /// The ids of the open sessions, oldest first.
+    /// Ids of the open sessions, oldest first.
     pub fn sessions(&self) -> Vec<i64> {
         let mut ids: Vec<i64> = lock(&self.state).sessions.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Number of sessions that are connected to a member.
+    /// Number of sessions with a connection to this member.
     pub fn connected_sessions(&self, member: usize) -> usize {
         let state = lock(&self.state);
         let connections = state.connections.values();
@@ -41,13 +41,13 @@
             .count()
     }
 
-    /// Opens a session without a connection, for instance of a server that a test stands in for. It lives until a test
-    /// expires it.
+    /// Opens a session without a connection, for example for a simulated server. It never times out; a test ends it with
+    /// [`Registry::expire_session`].
     pub fn open_session(&self) -> i64 {
         lock(&self.state).open_session(Duration::MAX, NO_CONNECTION)
     }
 
-    /// An entry, if it exists.
+    /// Returns a copy of an entry, if it exists.
     pub fn entry(&self, path: &str) -> Option<EntrySnapshot> {
         self.with_entry(path, |entry| EntrySnapshot {
             data: entry.data.clone(),
@@ -55,13 +55,14 @@
         })
     }
 
-    /// Names of the children of an entry.
+    /// Names of the children of an entry; empty if the entry does not exist.
     pub fn children(&self, path: &str) -> Vec<String> {
         self.with_entry(path, |entry| entry.children.iter().cloned().collect())
             .unwrap_or_default()
     }
 
-    /// Creates or replaces an entry of a session, or a persistent one for session 0, with all ancestors.
+    /// Creates or replaces an entry and creates its missing ancestors. The entry is owned by `session`, or persistent if
+    /// `session` is 0.
     pub fn put(&self, path: &str, data: &[u8], session: i64) {
         let mut state = lock(&self.state);
         let create = |path: &str, data: &[u8], owner| Change::Create {
@@ -93,7 +94,7 @@
         state.commit(changes);
     }
 
-    /// The access list of an entry.
+    /// The access list of an entry; empty if the entry does not exist.
     pub fn acl(&self, path: &str) -> Vec<AccessRule> {
         self.with_entry(path, |entry| entry.acl.clone())
             .unwrap_or_default()
@@ -107,7 +108,7 @@
         }]);
     }
 
-    /// Deletes an entry; returns whether there was one.
+    /// Deletes an entry; returns whether it existed.
     pub fn remove(&self, path: &str) -> bool {
         let mut state = lock(&self.state);
         let exists = state.tree.entries.contains_key(path);
@@ -120,7 +121,7 @@
     }
 }
 
-/// The paths above an entry, from the top, without the root.
+/// The ancestors of an entry from the top down, without the root.
 fn ancestors(path: &str) -> impl Iterator<Item = &str> {
     path.char_indices()
         .filter(|(position, character)| *position > 0 && *character == '/')
--- a/crates/testbed/src/registry/jute.rs
+++ b/crates/testbed/src/registry/jute.rs
@@ -1,16 +1,16 @@
-//! Fields of records, as a member of the registry reads and writes them.
+//! Jute serialization (ZooKeeper's record encoding) for registry members.
 //!
-//! Written independently of the client's code for the same records, so that neither hides a fault of the other.
+//! Implemented independently of the registry client, so that a fault in one implementation is not hidden by the other.
 
 use super::protocol::ErrorCode;
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Length of a buffer that is absent.
+/// Length prefix of a null buffer.
 const ABSENT: i32 = -1;
-/// Length of the length of a frame, in bytes.
+/// Size of the length prefix of a frame, in bytes.
 pub(super) const FRAME_HEADER_BYTES: usize = 4;
 
-/// Reads fields. Each method fails with [`ErrorCode::BadArguments`] if there are too few bytes, or invalid ones.
+/// Decodes fields. Each method fails with [`ErrorCode::BadArguments`] if bytes are missing or invalid.
 pub(super) struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Writes fields.
+/// Encodes fields.
 #[derive(Default)]
 pub(super) struct Writer {
     bytes: BytesMut,
@@ -111,7 +111,7 @@
         self
     }
 
-    /// The fields as a frame, after their length.
+    /// Returns the fields as a frame with a length prefix.
     pub(super) fn into_frame(self) -> Bytes {
         let mut frame = BytesMut::with_capacity(self.bytes.len() + FRAME_HEADER_BYTES);
         frame.put_u32(self.bytes.len() as u32);
--- a/crates/testbed/src/registry/mod.rs
+++ b/crates/testbed/src/registry/mod.rs
@@ -1,25 +1,26 @@
-//! A stand-in for a ZooKeeper registry: several members with one history of transactions, sessions that expire, ephemeral
-//! and sequential entries, watches of all kinds, access lists.
+//! A stand-in for a ZooKeeper ensemble: several members with one transaction log, sessions that expire, ephemeral and
+//! sequential entries, all kinds of watches, and access lists.
 //!
-//! Written from the ZooKeeper Programmer's Guide, Internals and record definitions, release 3.9. A write is committed at
-//! once; each member has a copy of the entries, which may lag. A member rejects clients that have seen a newer state than
-//! its own. A client's write is answered once its member has applied it, and requests are answered in their order.
+//! Written from the ZooKeeper Programmer's Guide, Internals and record definitions, release 3.9. A write is committed
+//! immediately; each member has a replica of the entries, which may lag. A member rejects clients that have seen a newer
+//! state than its own. The response to a write is sent once the client's member has applied the write, and responses are
+//! sent in the order of the requests.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `connections` | connections of clients to members: frames in, responses out |
-//! | `requests` | requests and their responses |
+//! | `connections` | client connections to members: frames in, responses out |
+//! | `requests` | request handling |
 //! | `state` | transactions, members, sessions and connections |
-//! | `tree` | the entries, and how transactions change them |
-//! | `watches` | the watches of the clients of one member |
+//! | `tree` | the tree of entries, and applying transactions to it |
+//! | `watches` | the watches of the clients that are connected to one member |
 //! | `acl` | access lists and identities |
-//! | `protocol` | the numbers of the protocol |
-//! | `jute` | fields of records |
-//! | `faults` | faults that tests inject |
-//! | `entries` | direct access of tests to entries and sessions |
-//! | [`control`] | faults over HTTP |
+//! | `protocol` | numeric codes of the protocol |
+//! | `jute` | record encoding |
+//! | `faults` | fault injection |
+//! | `entries` | direct access to entries and sessions for tests |
+//! | [`control`] | fault injection over HTTP |
 //!
-//! Tests, the demo, the scenario and the measurement `membership` start registries.
+//! Started by tests, the demo, and the scenario and measurement `membership`.
 
 mod acl;
 mod connections;
@@ -44,27 +45,27 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Interval at which sessions, lagging members and containers are examined.
+/// Interval at which replication that is due is applied, and sessions, entries and abandoned containers expire.
 const TIMER_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A registry. It stops when this is dropped.
+/// A running registry. Dropping it stops all members.
 pub struct Registry {
-    /// Where the members listen.
+    /// Listening addresses of the members.
     pub members: Vec<SocketAddr>,
     state: Arc<Mutex<RegistryState>>,
     _tasks: Vec<AbortOnDrop>,
 }
 
 impl Registry {
-    /// Starts so many members on ports of their own.
+    /// Starts `member_count` members on free ports of the loopback address.
     ///
     /// # Errors
-    /// Fails if the system has no port left.
+    /// Fails if no port is available.
     pub async fn start(member_count: usize) -> Result<Registry> {
         Self::start_at("127.0.0.1:0".parse()?, member_count).await
     }
 
-    /// Starts the first member at this address and the others at the next ports; with port 0, all at any ports.
+    /// Starts the first member at `address` and the others on consecutive ports; with port 0, each on any free port.
     ///
     /// # Errors
     /// Fails if an address is not available.
@@ -89,7 +90,7 @@
         })
     }
 
-    /// What the registry has done so far.
+    /// Totals since the start of the registry.
     pub fn counters(&self) -> Counters {
         lock(&self.state).counters
     }
--- a/crates/testbed/src/registry/protocol.rs
+++ b/crates/testbed/src/registry/protocol.rs
@@ -1,17 +1,17 @@
-//! The numbers of the registry's protocol: operations, errors, permissions, watches and events.
+//! Numeric codes of the ZooKeeper protocol: operations, errors, permissions, watches and events.
 //!
 //! Source: the record definitions of ZooKeeper 3.9.
 
-/// The error code of a response to a request that succeeded.
+/// Error code of a successful response.
 pub(super) const OK: i32 = 0;
-/// The operation number of results that have none, and of the end of a batch.
+/// Operation number of error results in a batch, and of the end of a batch.
 pub(super) const NO_OPERATION: i32 = -1;
-/// The request number of watch events.
+/// Request number (xid) of watch events, which answer no request.
 pub(super) const WATCH_EVENT_XID: i32 = -1;
-/// The state in watch events: the client is connected.
+/// Connection state in watch events: the client is connected.
 pub(super) const STATE_CONNECTED: i32 = 3;
 
-/// The permissions of an access rule, as bits.
+/// Permission bits of an access rule.
 pub(super) mod permission {
     pub(in crate::registry) const READ: i32 = 1;
     pub(in crate::registry) const WRITE: i32 = 2;
@@ -45,14 +45,14 @@
     NotEmpty = -111,
     #[error("the access list is invalid")]
     InvalidAcl = -114,
-    #[error("the proof of the identity is invalid")]
+    #[error("the credentials are invalid")]
     AuthFailed = -115,
     #[error("there is no such watch")]
     NoWatcher = -121,
 }
 
 impl ErrorCode {
-    /// The number in responses.
+    /// The code in response headers.
     pub(super) fn code(self) -> i32 {
         self as i32
     }
@@ -91,7 +91,7 @@
 }
 
 impl Operation {
-    /// The operation with this number.
+    /// Decodes an operation number; `None` if it is unknown.
     pub(super) fn from_number(number: i32) -> Option<Operation> {
         Some(match number {
             -11 => Operation::CloseSession,
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Whether it creates an entry.
+    /// Whether the operation creates an entry.
     pub(super) fn is_create(self) -> bool {
         matches!(
             self,
@@ -148,13 +148,13 @@
 }
 
 impl WatchEvent {
-    /// The number in events.
+    /// The code in watch events.
     pub(super) fn code(self) -> i32 {
         self as i32
     }
 }
 
-/// The kind of watch that a client asks for or removes.
+/// The kind of watch that a client looks up or removes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatchKind {
     Children,
@@ -165,7 +165,7 @@
 }
 
 impl WatchKind {
-    /// The kind with this number.
+    /// Decodes the number of a watch kind; `None` if it is unknown.
     pub(super) fn from_number(number: i32) -> Option<WatchKind> {
         Some(match number {
             1 => WatchKind::Children,
--- a/crates/testbed/src/registry/requests/batches.rs
+++ b/crates/testbed/src/registry/requests/batches.rs
@@ -1,4 +1,4 @@
-//! Several operations in one request: writes, of which all or none are committed, or reads.
+//! Multi-operation requests: writes that are committed atomically, or reads.
 
 use super::writes::{check_version, prepare};
 use super::{Reply, RequestContext};
@@ -7,7 +7,7 @@
 use crate::registry::state::{unix_ms, RegistryState};
 use crate::registry::tree::{Change, Transaction, Tree};
 
-/// What precedes each operation of a batch.
+/// The header of an operation in a batch, or the end marker.
 struct OperationHeader {
     number: i32,
     is_end: bool,
@@ -30,13 +30,13 @@
     result: Result<Writer, ErrorCode>,
 }
 
-/// Commits several writes in one transaction, or none of them.
+/// Commits a batch of writes as one transaction; if one of them is invalid, none is committed.
 pub(super) fn write_all(
     state: &mut RegistryState,
     context: &RequestContext,
     reader: &mut Reader<'_>,
 ) -> Result<Reply, ErrorCode> {
-    // Each operation is validated against the result of those before it.
+    // Each operation is validated against the tree that results from the preceding ones.
     let mut tree = state.tree.clone();
     let mut changes = Vec::new();
     let mut results = Vec::new();
@@ -69,7 +69,7 @@
     })
 }
 
-/// Validates one write and applies it to `tree`; the inner error is that of the operation, the outer one of the batch.
+/// Validates one write and applies it to `tree`. The inner error concerns this operation, the outer one the whole batch.
 fn write_one(
     state: &mut RegistryState,
     tree: &mut Tree,
@@ -112,7 +112,7 @@
     for (index, OperationResult { number, result }) in results.iter().enumerate() {
         body = match (failed_index, result) {
             (None, Ok(response)) => body.int(*number).bool(false).int(OK).append(response),
-            // Operations before the one that failed are rolled back.
+            // Operations before the failed one are rolled back and report success.
             (Some(failed_index), Ok(_)) if index < failed_index => write_error(body, OK),
             (_, Ok(_)) => body
                 .int(NO_OPERATION)
@@ -133,7 +133,7 @@
     body.int(NO_OPERATION).bool(true).int(NO_OPERATION)
 }
 
-/// Skips an operation after the one that failed.
+/// Consumes the fields of an operation that follows the failed one.
 fn skip_operation(number: i32, reader: &mut Reader<'_>) -> Result<(), ErrorCode> {
     let operation = Operation::from_number(number);
     let _path = reader.text()?;
@@ -161,7 +161,7 @@
     Ok(())
 }
 
-/// Reads several entries.
+/// Executes a batch of reads.
 pub(super) fn read_all(tree: &Tree, context: &RequestContext, reader: &mut Reader<'_>) -> Writer {
     let mut body = Writer::default();
     while let Ok(OperationHeader {
@@ -184,7 +184,7 @@
     reader: &mut Reader<'_>,
 ) -> Result<Writer, ErrorCode> {
     let path = reader.text()?;
-    // Batches set no watches.
+    // The watch flag has no effect in a batch.
     let _sets_watch = reader.bool();
     let entry = tree.entry(&path)?;
     entry.require(permission::READ, &context.identities)?;
--- a/crates/testbed/src/registry/requests/mod.rs
+++ b/crates/testbed/src/registry/requests/mod.rs
@@ -1,14 +1,14 @@
-//! Requests of clients to a member, and the responses.
+//! Handling of client requests to a member.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `sessions` | sessions opened, resumed and closed; authentication |
-//! | `writes` | entries created, changed and deleted |
-//! | `reads` | entries read |
-//! | `batches` | several writes, or several reads, in one request |
-//! | `watches` | watches added, looked up and removed |
+//! | `sessions` | opening, resuming and closing sessions; authentication |
+//! | `writes` | creating, changing and deleting entries |
+//! | `reads` | reading entries |
+//! | `batches` | requests with several writes or several reads |
+//! | `watches` | adding, looking up and removing watches |
 //!
-//! The task of a connection calls [`connect`] with its first frame, and [`handle`] with all others.
+//! A connection task calls [`connect`] with the first frame and [`handle`] with all later ones.
 
 mod batches;
 mod reads;
@@ -26,25 +26,25 @@
 use bytes::Bytes;
 use std::time::Instant;
 
-/// A response, and what happens with the connection.
+/// A response, and what has to happen before and after it is sent.
 pub(super) struct Handled {
-    /// The frame to the client.
+    /// The response frame.
     pub(super) response: Bytes,
-    /// The response is sent once the member has applied this transaction.
+    /// Id of the transaction that the member has to apply before the response is sent; 0 for none.
     pub(super) required_zxid: i64,
-    /// The connection is closed after the response.
+    /// Whether the connection is closed after the response.
     pub(super) closes_connection: bool,
 }
 
-/// The body of the response to a request that succeeded.
+/// The body of a successful response.
 struct Reply {
     body: Writer,
-    /// The response is sent once the member has applied this transaction.
+    /// Id of the transaction that the member has to apply before the response is sent; 0 for none.
     required_zxid: i64,
 }
 
 impl Reply {
-    /// A reply that depends on no transaction.
+    /// A reply that does not wait for a transaction.
     fn immediate(body: Writer) -> Reply {
         Reply {
             body,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Who sends a request, and to which member.
+/// The sender of a request, and the member that received it.
 struct RequestContext {
     connection: ConnectionId,
     member: usize,
@@ -61,7 +61,8 @@
     identities: Vec<Identity>,
 }
 
-/// The responses to the four-letter commands, which people and clients send in place of a frame.
+/// The response to a four-letter command, which operators and clients send in place of a frame; `None` if `command` is
+/// none.
 pub(super) fn four_letter_response(command: &[u8; 4]) -> Option<Bytes> {
     match command {
         b"ruok" => Some(Bytes::from_static(b"imok")),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Handles a request within a session; `None` closes the connection.
+/// Handles a request within a session; on `None` the caller closes the connection.
 pub(super) fn handle(
     state: &mut RegistryState,
     connection: ConnectionId,
--- a/crates/testbed/src/registry/requests/reads.rs
+++ b/crates/testbed/src/registry/requests/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of entries, from the copy that the client's member has.
+//! Reads of entries from the replica of the client's member.
 
 use super::{Reply, RequestContext};
 use crate::registry::acl::{self, AccessRule};
@@ -7,7 +7,7 @@
 use crate::registry::state::{Member, RegistryState};
 use crate::registry::tree::{is_valid_path, Entry, Tree};
 
-/// The identities of the client.
+/// Encodes the identities of the client, without password hashes.
 pub(super) fn identities(context: &RequestContext) -> Writer {
     let identities = &context.identities;
     let count = Writer::default().int(identities.len() as i32);
@@ -16,7 +16,7 @@
     })
 }
 
-/// The ephemeral entries of the client's session whose paths have a prefix.
+/// The paths of the session's ephemeral entries that start with a prefix.
 pub(super) fn ephemerals(
     state: &RegistryState,
     context: &RequestContext,
@@ -28,7 +28,7 @@
     Ok(Reply::immediate(Writer::default().texts(paths.iter())))
 }
 
-/// Reads an entry, and sets a watch if the client asks for it.
+/// Reads an entry, and sets a watch if the request asks for one.
 pub(super) fn read(
     state: &mut RegistryState,
     context: &RequestContext,
@@ -42,7 +42,7 @@
     let sets_watch = has_watch_flag(operation) && reader.bool()?;
     let Member { tree, watches, .. } = &mut state.members[context.member];
     let Some(entry) = tree.entries.get(&path) else {
-        // A watch for the existence of an entry reports its creation.
+        // A watch set by `Exists` on a missing entry reports the creation of that entry.
         if operation == Operation::Exists && sets_watch {
             watches.add_data(path, context.connection);
         }
@@ -91,7 +91,7 @@
     })
 }
 
-/// Writes the access list. Hashes are hidden from clients that may not change it.
+/// Encodes the access list. Password hashes are hidden from clients without the admin permission.
 fn write_acl(entry: &Entry, context: &RequestContext, body: Writer) -> Result<Writer, ErrorCode> {
     let identities = &context.identities;
     entry.require(permission::READ | permission::ADMIN, identities)?;
--- a/crates/testbed/src/registry/requests/sessions.rs
+++ b/crates/testbed/src/registry/requests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions opened, resumed and closed, and authentication.
+//! Opening, resuming and closing sessions, and authentication.
 
 use super::{Handled, Reply, RequestContext};
 use crate::registry::acl::{digest_id, Identity};
@@ -8,22 +8,22 @@
 use crate::registry::watches::ConnectionId;
 use std::time::{Duration, Instant};
 
-/// Shortest time-out of a session.
+/// Minimum session timeout.
 const SHORTEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest time-out of a session.
+/// Maximum session timeout.
 const LONGEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Version of the protocol in responses.
+/// Protocol version in connect responses.
 const PROTOCOL_VERSION: i32 = 0;
 
-/// The first frame of a client.
+/// The first frame on a connection.
 struct ConnectRequest {
-    /// The last transaction that the client has seen.
+    /// Id of the last transaction that the client has seen.
     last_zxid: i64,
     timeout_ms: i32,
-    /// 0 for a new session.
+    /// Id of the session to resume; 0 to open a new one.
     session: i64,
     password: Vec<u8>,
-    /// The client states whether a read-only member will do, and expects the field in the response.
+    /// Whether the request has the read-only flag, in which case the response has one, too.
     has_read_only_field: bool,
 }
 
@@ -41,15 +41,16 @@
     }
 }
 
-/// The session that a client gets.
+/// The session in a connect response.
 struct GrantedSession {
-    /// 0 if there is none: the client's former one has expired.
+    /// Session id; 0 if the session to resume has expired.
     id: i64,
     password: SessionPassword,
     timeout: Duration,
 }
 
-/// Handles the first frame of a connection, which opens or resumes a session; `None` closes the connection.
+/// Handles the first frame on a connection, which opens or resumes a session; on `None` the caller closes the
+/// connection.
 pub(in crate::registry) fn connect(
     state: &mut RegistryState,
     connection: ConnectionId,
@@ -57,7 +58,7 @@
 ) -> Option<Handled> {
     let request = ConnectRequest::read(frame).ok()?;
     let member = state.connections.get(&connection)?.member;
-    // A client that has seen more than this member has to connect to another one.
+    // A client that has seen a newer state than this member's must connect to another member.
     if request.last_zxid > state.members.get(member)?.tree.zxid {
         return None;
     }
@@ -100,7 +101,7 @@
     })
 }
 
-/// Resumes the session that a client names, if its password is correct. The former connection of the session is closed.
+/// Resumes a session if the password matches, and closes the previous connection of the session.
 fn resume(
     state: &mut RegistryState,
     connection: ConnectionId,
@@ -134,7 +135,7 @@
     }
 }
 
-/// Closes the session of a client by its own request, which does not count as an expiry.
+/// Closes a session at the client's request, which is not counted as an expiry.
 pub(super) fn close(state: &mut RegistryState, context: &RequestContext) -> Reply {
     let required_zxid = state.delete_ephemerals(context.session);
     state.sessions.remove(&context.session);
@@ -144,27 +145,27 @@
     }
 }
 
-/// Adds an identity to a client that proves it by `name:password`.
+/// Authenticates a client with `name:password` in the scheme `digest`, and adds the identity to its connection.
 pub(super) fn authenticate(
     state: &mut RegistryState,
     context: &RequestContext,
     reader: &mut Reader<'_>,
 ) -> Result<Reply, ErrorCode> {
-    let (scheme, proof) = read_proof(reader).map_err(|_| ErrorCode::AuthFailed)?;
-    if scheme != "digest" || !proof.contains(':') {
+    let (scheme, credentials) = read_credentials(reader).map_err(|_| ErrorCode::AuthFailed)?;
+    if scheme != "digest" || !credentials.contains(':') {
         return Err(ErrorCode::AuthFailed);
     }
     if let Some(connection) = state.connections.get_mut(&context.connection) {
-        let id = digest_id(&proof);
+        let id = digest_id(&credentials);
         connection.identities.push(Identity { scheme, id });
     }
     Ok(Reply::immediate(Writer::default()))
 }
 
-/// The scheme and the proof of an authentication.
-fn read_proof(reader: &mut Reader<'_>) -> Result<(String, String), ErrorCode> {
+/// Decodes the scheme and the credentials of an authentication request.
+fn read_credentials(reader: &mut Reader<'_>) -> Result<(String, String), ErrorCode> {
     let _type = reader.int()?;
     let scheme = reader.text()?;
-    let proof = reader.text()?;
-    Ok((scheme, proof))
+    let credentials = reader.text()?;
+    Ok((scheme, credentials))
 }
--- a/crates/testbed/src/registry/requests/watches.rs
+++ b/crates/testbed/src/registry/requests/watches.rs
@@ -1,4 +1,4 @@
-//! Watches added, looked up, removed, and set again by a client that has reconnected.
+//! Adding, looking up and removing watches, and restoring them after a reconnect.
 
 use super::{Reply, RequestContext};
 use crate::registry::jute::{Reader, Writer};
@@ -7,10 +7,10 @@
 use crate::registry::tree::is_valid_path;
 use crate::registry::watches::Notification;
 
-/// A watch that a client looks up or removes.
+/// A request to look up or remove a watch.
 struct WatchQuery {
     path: String,
-    /// `None` for a kind that does not exist.
+    /// `None` if the request has an unknown kind.
     kind: Option<WatchKind>,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn found(is_found: bool) -> Result<Reply, ErrorCode> {
+fn reply_if_found(is_found: bool) -> Result<Reply, ErrorCode> {
     if is_found {
         Ok(Reply::immediate(Writer::default()))
     } else {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Fails unless the client has a watch.
+/// Fails unless the client has a matching watch.
 pub(super) fn check(
     state: &RegistryState,
     context: &RequestContext,
@@ -39,10 +39,10 @@
 ) -> Result<Reply, ErrorCode> {
     let WatchQuery { path, kind } = WatchQuery::read(reader)?;
     let watches = &state.members[context.member].watches;
-    found(watches.contains(&path, context.connection, kind))
+    reply_if_found(watches.contains(&path, context.connection, kind))
 }
 
-/// Removes watches; fails if the client has none of them.
+/// Removes the matching watches; fails if the client has none.
 pub(super) fn remove(
     state: &mut RegistryState,
     context: &RequestContext,
@@ -50,7 +50,7 @@
 ) -> Result<Reply, ErrorCode> {
     let WatchQuery { path, kind } = WatchQuery::read(reader)?;
     let watches = &mut state.members[context.member].watches;
-    found(watches.remove(&path, context.connection, kind))
+    reply_if_found(watches.remove(&path, context.connection, kind))
 }
 
 /// Adds a persistent watch.
@@ -73,12 +73,12 @@
     Ok(Reply::immediate(Writer::default().int(OK)))
 }
 
-/// The watches that a client had on its former connection, by path.
+/// The paths of the watches that a client had on its previous connection.
 struct FormerWatches {
-    /// The last transaction that the client has seen.
+    /// Id of the last transaction that the client has seen.
     last_zxid: i64,
     data: Vec<String>,
-    /// For the existence of entries that did not exist.
+    /// Existence watches on entries that did not exist.
     existence: Vec<String>,
     children: Vec<String>,
     persistent: Vec<String>,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Sets the watches of a former connection again. The client is notified at once of what they would have reported meanwhile.
+/// Restores the watches of a previous connection. The client is notified immediately of the events that it missed.
 pub(super) fn set(
     state: &mut RegistryState,
     context: &RequestContext,
@@ -120,7 +120,7 @@
     Ok(Reply::immediate(Writer::default()))
 }
 
-/// Sets the watches that have nothing to report; returns the notifications of the others.
+/// Restores the watches that missed no event; returns notifications for the others.
 fn restore(
     member: &mut Member,
     context: &RequestContext,
--- a/crates/testbed/src/registry/requests/writes.rs
+++ b/crates/testbed/src/registry/requests/writes.rs
@@ -1,4 +1,4 @@
-//! Writes of entries: validated against the committed tree, then committed.
+//! Writes of entries: they are validated against the committed tree and then committed.
 
 use super::{Reply, RequestContext};
 use crate::registry::acl::read_acl;
@@ -8,17 +8,17 @@
 use crate::registry::tree::{self, is_valid_path, Change, Tree, CONTAINER_OWNER};
 use std::time::Duration;
 
-/// The version in requests that any version of an entry matches.
+/// Expected version in a request that matches any version.
 const ANY_VERSION: i32 = -1;
-/// Marks the owner of an entry with a time to live, which is in the lower bits.
+/// Upper bits of the owner field of an entry with a time to live; the lower bits hold the time in milliseconds.
 const TTL_OWNER_MARK: i64 = 0xff << 56;
-/// Bound of times to live, in milliseconds.
+/// Exclusive upper bound of a time to live, in milliseconds.
 const TTL_LIMIT_MS: i64 = 1 << 40;
 
-/// A write that has been validated.
+/// A validated write.
 pub(super) struct PreparedWrite {
     operation: Operation,
-    /// Path of the entry; that of a sequential one with its number.
+    /// Path of the entry, including the sequence number of a sequential entry.
     path: String,
     pub(super) change: Change,
     ttl: Option<Duration>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The body of the response, after the change has been applied to the tree.
+    /// Returns the response body. The change must have been applied to `tree`.
     pub(super) fn response(&self, tree: &Tree) -> Writer {
         let body = Writer::default();
         let entry = tree.entries.get(&self.path);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Registers the time to live of an entry that is created with one.
+    /// Records the time to live, if the write creates an entry that has one.
     pub(super) fn register_ttl(&self, state: &mut RegistryState) {
         if let Some(ttl) = self.ttl {
             state.ttls.insert(self.path.clone(), ttl);
@@ -80,14 +80,14 @@
     }
 }
 
-/// Fails unless an entry has the version of the request.
+/// Fails unless the version of the entry matches the expected version in the request.
 pub(super) fn check_version(tree: &Tree, reader: &mut Reader<'_>) -> Result<(), ErrorCode> {
     let path = reader.text()?;
     let expected = reader.int()?;
     check_match(tree.entry(&path)?.version, expected)
 }
 
-/// Validates a write against a tree.
+/// Decodes a write and validates it against a tree.
 pub(super) fn prepare(
     tree: &Tree,
     context: &RequestContext,
@@ -163,21 +163,21 @@
     Ok(PreparedWrite::new(Operation::SetAcl, path, change))
 }
 
-/// How an entry is created.
+/// The create mode in a request.
 struct CreateMode {
     is_sequential: bool,
     lifetime: Lifetime,
 }
 
-/// When an entry is deleted by itself.
+/// When an entry is deleted automatically.
 #[derive(Clone, Copy)]
 enum Lifetime {
     Persistent,
-    /// With its session.
+    /// When its session ends.
     Ephemeral,
-    /// After its last child.
+    /// After its last child is deleted.
     Container,
-    /// A time after its last change.
+    /// When its time to live since the last change has elapsed.
     TimeToLive,
 }
 
@@ -239,7 +239,7 @@
     if tree.entries.contains_key(&path) {
         return Err(ErrorCode::NodeExists);
     }
-    // The owners of containers and of entries with a time to live are negative.
+    // Session ids are positive; the owner values of containers and of entries with a time to live are negative.
     if parent.owner > 0 {
         return Err(ErrorCode::NoChildrenForEphemerals);
     }
--- a/crates/testbed/src/registry/state.rs
+++ b/crates/testbed/src/registry/state.rs
@@ -1,6 +1,6 @@
 //! The state of a registry: committed transactions, members, sessions and connections.
 //!
-//! The connections' tasks, the timer and [`Registry`](super::Registry) share it under one lock.
+//! Shared by the connection tasks, the timer and [`Registry`](super::Registry) under one lock.
 
 use super::acl::Identity;
 use super::jute::Writer;
@@ -27,7 +27,7 @@
     pub(super) response_delay: Duration,
     pub(super) is_down: bool,
     pub(super) watches: Watches,
-    /// The last transaction that it has applied.
+    /// Id of the last transaction that the member has applied.
     pub(super) applied_zxid: watch::Sender<i64>,
     pub(super) is_frozen: watch::Sender<bool>,
 }
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Adds a transaction. Transactions are applied in order, also if the lag has become shorter.
+    /// Queues a transaction for replication. A transaction is never due before its predecessors, even if the lag was
+    /// reduced meanwhile.
     fn enqueue(&mut self, transaction: Transaction, now: Instant) {
         let last_due = self.replication_queue.back().map_or(now, |last| last.due);
         let due = last_due.max(now + self.replication_lag);
@@ -54,7 +55,7 @@
             .push_back(PendingTransaction { due, transaction });
     }
 
-    /// The next transaction that is due.
+    /// Removes and returns the next transaction that is due; `None` while the member is frozen.
     fn next_due(&mut self, now: Instant) -> Option<Transaction> {
         let is_due = self
             .replication_queue
@@ -68,7 +69,7 @@
     }
 }
 
-/// The secret by which a client resumes its session.
+/// The secret that a client presents to resume its session.
 pub(super) type SessionPassword = [u8; 16];
 
 /// A session of a client.
@@ -76,11 +77,11 @@
     pub(super) password: SessionPassword,
     pub(super) timeout: Duration,
     pub(super) last_request_at: Instant,
-    /// The connection that its client used last.
+    /// The connection that the client used last.
     pub(super) connection: ConnectionId,
 }
 
-/// A frame to a client, and when it was sent.
+/// A frame to a client, and the time at which it was queued.
 pub(super) struct OutgoingFrame {
     pub(super) sent_at: Instant,
     pub(super) bytes: Bytes,
@@ -101,42 +102,42 @@
         self.close.send_replace(true);
     }
 
-    /// Sends a frame. One to a connection that has just ended is lost.
+    /// Queues a frame for sending. It is discarded if the connection has just ended.
     pub(super) fn send(&self, bytes: Bytes) {
         let sent_at = Instant::now();
         let _ = self.outgoing.send(OutgoingFrame { sent_at, bytes });
     }
 }
 
-/// What a registry has done so far.
+/// Totals since the start of a registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests, without pings.
+    /// Requests received, without pings.
     pub requests: u64,
-    /// Sessions that were opened.
+    /// Sessions opened.
     pub sessions: u64,
-    /// Sessions that have expired or were expired from outside.
+    /// Sessions that timed out or were expired by a test.
     pub expired_sessions: u64,
     /// Watch events sent.
     pub watch_events: u64,
-    /// Bytes sent to clients.
+    /// Bytes queued for sending to clients.
     pub bytes_sent: u64,
-    /// Bytes sent to clients that have been written to their sockets.
+    /// Bytes written to client sockets.
     pub bytes_written: u64,
 }
 
-/// See the module.
+/// The state of a registry, behind the lock that all its tasks share.
 pub(super) struct RegistryState {
-    /// All committed transactions.
+    /// The committed entries, ahead of those of lagging members.
     pub(super) tree: Tree,
     pub(super) members: Vec<Member>,
     pub(super) sessions: HashMap<i64, Session>,
     pub(super) connections: HashMap<ConnectionId, Connection>,
     last_id: u64,
-    /// So many next watch events are dropped.
+    /// Number of watch events that are still to be dropped.
     pub(super) watch_events_to_drop: u64,
     pub(super) counters: Counters,
-    /// Time to live of the entries that have one.
+    /// Time to live by path, for the entries that have one.
     pub(super) ttls: BTreeMap<String, Duration>,
 }
 
@@ -157,7 +158,7 @@
             members: (0..member_count).map(|_| Member::new()).collect(),
             sessions: HashMap::new(),
             connections: HashMap::new(),
-            // By the time, so that no two registries have the same session ids, as with real ones.
+            // Derived from the clock so that session ids differ between registries, as in ZooKeeper.
             last_id: (unix_ms() as u64) << 8,
             watch_events_to_drop: 0,
             counters: Counters::default(),
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A new number of a connection or a session.
+    /// Returns a new id for a connection or a session.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -189,7 +190,7 @@
         id
     }
 
-    /// Ends a session: deletes its entries in one transaction, and closes its connection. Returns whether there was one.
+    /// Ends a session: deletes its entries in one transaction and closes its connections. Returns whether it existed.
     pub(super) fn end_session(&mut self, id: i64) -> bool {
         if self.sessions.remove(&id).is_none() {
             return false;
@@ -202,7 +203,7 @@
         true
     }
 
-    /// Deletes the entries of a session; returns the transaction, or 0 if there were none.
+    /// Deletes the entries of a session; returns the transaction id, or 0 if the session had no entries.
     pub(super) fn delete_ephemerals(&mut self, session: i64) -> i64 {
         let changes = self.tree.delete_owned_by(session);
         if changes.is_empty() {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Commits changes as one transaction, and returns its number.
+    /// Commits changes as one transaction and returns its id.
     pub(super) fn commit(&mut self, changes: Vec<Change>) -> i64 {
         let transaction = Transaction {
             zxid: self.tree.zxid + 1,
@@ -233,7 +234,7 @@
         transaction.zxid
     }
 
-    /// Applies the transactions that are due at a member.
+    /// Applies the transactions that are due at a member, and sends the watch events that they trigger.
     fn replicate(&mut self, member: usize, now: Instant) {
         while let Some(transaction) = self.members[member].next_due(now) {
             let events = self.members[member].tree.apply(&transaction);
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Sends a watch event once to each connection, however many of its watches report it.
+    /// Sends a watch event once to each connection, even if several of its watches match.
     pub(super) fn notify(&mut self, notification: Notification, zxid: i64) {
         let mut connections = notification.connections;
         connections.sort_unstable();
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Applies replication that is due, and expires sessions and entries.
     pub(super) fn handle_timer(&mut self, now: Instant) {
         for member in 0..self.members.len() {
             self.replicate(member, now);
@@ -292,7 +293,7 @@
         self.delete_expired_entries();
     }
 
-    /// Deletes entries whose time to live is over, and abandoned containers.
+    /// Deletes entries whose time to live has elapsed, and containers that have lost their last child.
     fn delete_expired_entries(&mut self) {
         let now_ms = unix_ms();
         let is_expired = |(path, ttl): &(&String, &Duration)| {
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a closed connection and its watches.
     pub(super) fn remove_connection(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.remove(&id) {
             let member = &mut self.members[connection.member];
--- a/crates/testbed/src/registry/tree.rs
+++ b/crates/testbed/src/registry/tree.rs
@@ -1,35 +1,35 @@
-//! The entries of a registry, and how transactions change them.
+//! The tree of entries of a registry, and applying transactions to it.
 //!
-//! Source: ZooKeeper Programmer's Guide, "Data Model". [`RegistryState`](super::state::RegistryState) keeps the committed
-//! tree and one for each member.
+//! Source: ZooKeeper Programmer's Guide, "Data Model". [`RegistryState`](super::state::RegistryState) holds the committed
+//! tree and a replica for each member.
 
 use super::acl::{AccessRule, Identity};
 use super::jute::Writer;
 use super::protocol::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Owner of a container.
+/// Owner value that marks a container: an entry that is deleted after its last child.
 pub(super) const CONTAINER_OWNER: i64 = i64::MIN;
 
-/// An entry.
+/// An entry (a znode in ZooKeeper).
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) data: Vec<u8>,
     pub(super) acl: Vec<AccessRule>,
-    /// Transaction that created it.
+    /// Transaction that created the entry.
     pub(super) created_zxid: i64,
-    /// Transaction that changed its data last.
+    /// Transaction that last changed the data.
     pub(super) modified_zxid: i64,
-    /// Transaction that changed the list of its children last.
+    /// Transaction that last changed the list of children.
     pub(super) children_zxid: i64,
-    /// Time of its creation, in milliseconds of Unix time.
+    /// Creation time, in Unix milliseconds.
     pub(super) created_ms: i64,
-    /// Time of the last change of its data, in milliseconds of Unix time.
+    /// Time of the last change of the data, in Unix milliseconds.
     pub(super) modified_ms: i64,
     pub(super) version: i32,
     pub(super) children_version: i32,
     pub(super) acl_version: i32,
-    /// The session of an ephemeral entry; the mark of a container or of an entry with a time to live; or else 0.
+    /// Session id of an ephemeral entry, marker value of a container or of an entry with a time to live, otherwise 0.
     pub(super) owner: i64,
     /// Names of the children.
     pub(super) children: BTreeSet<String>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes the record `Stat`.
+    /// Encodes the record `Stat`.
     pub(super) fn write_stat(&self, writer: Writer) -> Writer {
         writer
             .long(self.created_zxid)
@@ -69,7 +69,7 @@
             .long(self.children_zxid)
     }
 
-    /// Whether the access list grants one of these permissions.
+    /// Whether the access list grants at least one of `permissions`.
     pub(super) fn grants(&self, permissions: i32, identities: &[Identity]) -> bool {
         let mut rules = self.acl.iter();
         self.acl.is_empty() || rules.any(|rule| rule.grants(permissions, identities))
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Whether it is a container that has lost its last child.
+    /// Whether the entry is a container that has lost its last child.
     pub(super) fn is_abandoned_container(&self) -> bool {
         self.owner == CONTAINER_OWNER && self.children_version > 0 && self.children.is_empty()
     }
 }
 
-/// A change of one entry. It has been validated, so that every member applies it alike.
+/// A validated change of one entry, which every member applies with the same result.
 #[derive(Clone, Debug)]
 pub(super) enum Change {
     Create {
@@ -117,16 +117,16 @@
     },
 }
 
-/// Changes that are applied together.
+/// Changes that are applied atomically.
 #[derive(Clone, Debug)]
 pub(super) struct Transaction {
     pub(super) zxid: i64,
-    /// In milliseconds of Unix time.
+    /// Commit time, in Unix milliseconds.
     pub(super) time_ms: i64,
     pub(super) changes: Vec<Change>,
 }
 
-/// A change that watches report.
+/// A change that can trigger watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum TreeEvent {
     Created(String),
@@ -139,7 +139,7 @@
     split_name(path).0
 }
 
-/// Path of the parent, and the name of the entry within it.
+/// Splits a path into the path of the parent and the name of the entry.
 fn split_name(path: &str) -> (&str, &str) {
     match path.rsplit_once('/') {
         Some(("", name)) => ("/", name),
@@ -148,7 +148,7 @@
     }
 }
 
-/// Whether an entry may have this path.
+/// Whether the path is valid for an entry.
 pub(super) fn is_valid_path(path: &str) -> bool {
     if path == "/" {
         return true;
@@ -159,11 +159,11 @@
     path.starts_with('/') && path.chars().all(is_allowed) && path[1..].split('/').all(is_valid_name)
 }
 
-/// All entries, after the transactions up to one of them.
+/// All entries as of the transaction `zxid`.
 #[derive(Clone, Debug)]
 pub(super) struct Tree {
     pub(super) entries: BTreeMap<String, Entry>,
-    /// The last transaction that was applied.
+    /// Id of the last applied transaction.
     pub(super) zxid: i64,
 }
 
@@ -184,7 +184,7 @@
         self.entries.get(path).ok_or(ErrorCode::NoNode)
     }
 
-    /// Applies a transaction; returns what watches report, in order.
+    /// Applies a transaction; returns the events for watches, in order.
     pub(super) fn apply(&mut self, transaction: &Transaction) -> Vec<TreeEvent> {
         self.zxid = transaction.zxid;
         let changes = transaction.changes.iter();
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Changes the list of children that an entry is in.
+    /// Updates the list of children of an entry's parent.
     fn update_children(&mut self, path: &str, change: impl FnOnce(&mut BTreeSet<String>, &str)) {
         let (parent, name) = split_name(path);
         if let Some(parent) = self.entries.get_mut(parent) {
--- a/crates/testbed/src/registry/watches.rs
+++ b/crates/testbed/src/registry/watches.rs
@@ -4,21 +4,21 @@
 use super::tree::{self, TreeEvent};
 use std::collections::{HashMap, HashSet};
 
-/// Number of a connection. Session ids are from the same sequence.
+/// Id of a connection, from the same sequence as session ids.
 pub(super) type ConnectionId = u64;
 
 /// Watches by path.
 #[derive(Default)]
 pub(super) struct Watches {
-    /// Watches for the existence and the data of an entry, for one event.
+    /// One-time watches for the existence and the data of an entry.
     data: HashMap<String, HashSet<ConnectionId>>,
-    /// Watches for the list of children of an entry, for one event.
+    /// One-time watches for the list of children of an entry.
     children: HashMap<String, HashSet<ConnectionId>>,
-    /// Watches for all events, and whether they are recursive.
+    /// Persistent watches; the value is whether the watch is recursive.
     persistent: HashMap<String, HashMap<ConnectionId, bool>>,
 }
 
-/// An event that is sent to clients.
+/// A watch event and the connections to which it is sent.
 pub(super) struct Notification {
     pub(super) connections: Vec<ConnectionId>,
     pub(super) event: WatchEvent,
@@ -44,7 +44,7 @@
         watchers.insert(connection, is_recursive);
     }
 
-    /// Whether a connection has a watch of this kind.
+    /// Whether a connection has a watch of this kind on the path.
     pub(super) fn contains(
         &self,
         path: &str,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Removes the watches of this kind of a connection; returns whether there were any.
+    /// Removes a connection's watches of this kind from the path; returns whether there were any.
     pub(super) fn remove(
         &mut self,
         path: &str,
@@ -119,7 +119,7 @@
         });
     }
 
-    /// The notifications of a change, in the order of their sending. Watches for one event are removed.
+    /// Returns the notifications of a change in the order in which they are sent. One-time watches that match are removed.
     pub(super) fn trigger(&mut self, change: &TreeEvent) -> [Notification; 2] {
         let (path, event) = match change {
             TreeEvent::Created(path) => (path, WatchEvent::Created),
@@ -143,7 +143,7 @@
         [of_entry, of_parent]
     }
 
-    /// Connections that are notified of a change of an entry itself.
+    /// Connections to notify of a change of the entry itself.
     fn trigger_entry(&mut self, path: &str, event: WatchEvent) -> Vec<ConnectionId> {
         let mut connections: Vec<ConnectionId> =
             self.data.remove(path).into_iter().flatten().collect();
@@ -160,7 +160,7 @@
         connections
     }
 
-    /// Connections that are notified of a change of a list of children.
+    /// Connections to notify of a change of the list of children.
     fn trigger_children(&mut self, parent: &str) -> Vec<ConnectionId> {
         let once = self.children.remove(parent);
         let mut connections: Vec<ConnectionId> = once.into_iter().flatten().collect();
