--- a/crates/testbed/src/scripted/client.rs
+++ b/crates/testbed/src/scripted/client.rs
@@ -1,10 +1,10 @@
-//! Requests of clients and operators, as the tests that drive a [`Node`](super::Node) send them.
+//! HTTP requests from clients and operators to a [`Node`](super::Node) under test.
 
 use super::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Opens a connection, if it can be established.
+/// Opens a connection; `None` if it can't be established.
 pub(super) fn try_connect(address: SocketAddr) -> Option<TcpStream> {
     connect_with_timeout(address).ok()
 }
@@ -15,7 +15,7 @@
 /// Panics if the connection can't be established.
 pub fn connect(address: SocketAddr) -> TcpStream {
     connect_with_timeout(address)
-        .unwrap_or_else(|error| panic!("a connection to {address}: {error}"))
+        .unwrap_or_else(|error| panic!("connecting to {address} failed: {error}"))
 }
 
 fn connect_with_timeout(address: SocketAddr) -> std::io::Result<TcpStream> {
@@ -24,30 +24,31 @@
     Ok(stream)
 }
 
-/// A response to a request.
+/// A response received from the node.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Body, as text.
+    /// Body, decoded as UTF-8.
     pub body: String,
 }
 
-/// The text of an idempotent request.
+/// Formats an idempotent request without a body; `id` is its correlation id.
 pub fn read_request(id: &str) -> String {
     format!(
         "GET /api HTTP/1.1\r\nhost: n\r\nx-correlation-id: {id}\r\nx-service-class: read\r\nx-time-left: 6.0\r\n\r\n"
     )
 }
 
-/// The text of a request that must run at most once, with header lines for its framing.
+/// Formats a request that must take effect at most once. `framing` holds the header lines that frame the body, such as
+/// `content-length`.
 pub fn write_request(id: &str, framing: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nhost: n\r\nx-correlation-id: {id}\r\nx-service-class: write\r\nx-time-left: 6.0\r\n{framing}\r\n\r\n{body}"
     )
 }
 
-/// Reads the next response on a connection; `None` if it ends or is reset instead.
+/// Reads the next response on a connection; `None` if the connection is closed or reset first.
 pub fn read_response(stream: &TcpStream) -> Option<Response> {
     let message = Message::read(&mut BufReader::new(stream))?;
     let status = message.start_line.split(' ').nth(1)?.parse().ok()?;
@@ -57,7 +58,7 @@
     })
 }
 
-/// Sends bytes on a new connection and reads the response; `None` if the connection ends instead.
+/// Sends bytes on a new connection and reads the response; `None` if the connection is closed first.
 ///
 /// # Panics
 /// Panics if the connection can't be established.
@@ -67,7 +68,7 @@
     read_response(&stream)
 }
 
-/// Sends a request to the management address; returns the status of the response.
+/// Sends a request to the management address and returns the status code of the response.
 ///
 /// # Panics
 /// Panics if there is no response.
--- a/crates/testbed/src/scripted/configuration.rs
+++ b/crates/testbed/src/scripted/configuration.rs
@@ -1,27 +1,27 @@
-//! The configuration that a platform gives to a node.
+//! The JSON configuration that the platform writes for a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What differs between the configurations of the test bed.
+/// The parts of the configuration that vary between tests.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformConfiguration {
-    /// Where the node listens.
+    /// Address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where it finds discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Maximum number of sockets that it may open.
+    /// Maximum number of sockets that the node may open.
     pub max_sockets: usize,
     /// Latency objective of all classes.
     pub latency_objective: Duration,
     /// Deadline of all classes.
     pub deadline: Duration,
-    /// How long requests may still be sent to a draining server.
+    /// Grace period during which requests may still be sent to a draining server.
     pub drain_grace: Duration,
 }
 
 impl PlatformConfiguration {
-    /// The configuration as the platform writes it: two classes, of which one is idempotent.
+    /// Formats the configuration in the platform's format, with an idempotent class `read` and an at-most-once class `write`.
     pub fn to_json(&self) -> String {
         let promise = self.latency_objective.as_secs_f64();
         let deadline = self.deadline.as_secs_f64();
--- a/crates/testbed/src/scripted/discovery.rs
+++ b/crates/testbed/src/scripted/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service of the platform that sends the lines a test prescribes.
+//! The platform's discovery service, which sends exactly the lines that a test specifies.
 
 use super::{serve, Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
@@ -6,22 +6,22 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Interval of the empty lines that a watch sends as heartbeats.
+/// Interval of the empty lines that are sent on a watch as heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A server in an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedServer<'a> {
-    /// Name, by which the node identifies it.
+    /// Name by which the node identifies the server.
     pub name: &'a str,
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Status on the list: `active`, `leaving`, `left` or another one.
+    /// Status in the list, such as `active`, `leaving` or `left`.
     pub status: &'a str,
 }
 
 impl<'a> ListedServer<'a> {
-    /// A server with this name, address and status.
+    /// Creates a list entry; its other fields have fixed values.
     pub fn new(name: &'a str, address: SocketAddr, status: &'a str) -> ListedServer<'a> {
         ListedServer {
             name,
@@ -42,16 +42,16 @@
     }
 }
 
-/// An endpoint list as discovery sends it.
+/// Formats an endpoint list as one line in the discovery protocol.
 pub fn endpoint_list(index: u64, is_snapshot: bool, servers: &[ListedServer<'_>]) -> String {
     let endpoints: Vec<String> = servers.iter().map(|server| server.to_json()).collect();
     let endpoints = endpoints.join(",");
     format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{endpoints}]}}"#)
 }
 
-/// A discovery service. Each watch is sent the latest line, again whenever it changes.
+/// A discovery service. Each watch receives the current line when it opens and again whenever the line changes.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -67,7 +67,7 @@
     line: String,
     changes: usize,
     watches: usize,
-    /// Requests are answered 503, and watches end.
+    /// While set, requests are answered with 503 and open watches end.
     is_unavailable: bool,
     requests: usize,
 }
@@ -79,7 +79,7 @@
 }
 
 impl Discovery {
-    /// Starts a service without a list.
+    /// Starts a service whose current line is empty.
     pub fn start() -> Discovery {
         let shared = Arc::new(Shared::default());
         let connection_shared = shared.clone();
@@ -87,17 +87,17 @@
         Discovery { address, shared }
     }
 
-    /// Sends a complete list.
+    /// Sends a complete list to all watches.
     pub fn send_snapshot(&self, index: u64, servers: &[ListedServer<'_>]) {
         self.send_line(&endpoint_list(index, true, servers));
     }
 
-    /// Sends changes of the list.
+    /// Sends the changed servers of the list to all watches.
     pub fn send_delta(&self, index: u64, servers: &[ListedServer<'_>]) {
         self.send_line(&endpoint_list(index, false, servers));
     }
 
-    /// Sends a line, which need not be a list.
+    /// Sends an arbitrary line, which need not be a valid list, to all watches.
     pub fn send_line(&self, line: &str) {
         let mut state = self.shared.lock();
         line.clone_into(&mut state.line);
@@ -105,18 +105,18 @@
         self.shared.changed.notify_all();
     }
 
-    /// Sets whether requests are answered 503 from now on; open watches end.
+    /// Sets whether requests are answered with 503. While the service is unavailable, watches end.
     pub fn set_unavailable(&self, is_unavailable: bool) {
         self.shared.lock().is_unavailable = is_unavailable;
         self.shared.changed.notify_all();
     }
 
-    /// Number of requests so far.
+    /// Number of requests received so far.
     pub fn requests(&self) -> usize {
         self.shared.lock().requests
     }
 
-    /// Waits for the first watch.
+    /// Waits until a watch has been opened.
     ///
     /// # Panics
     /// Panics if there is none within [`WAIT_TIMEOUT`].
@@ -128,7 +128,7 @@
             .changed
             .wait_timeout_while(state, WAIT_TIMEOUT, is_missing)
             .unwrap_or_else(PoisonError::into_inner);
-        assert!(!waited.timed_out(), "nobody watches");
+        assert!(!waited.timed_out(), "no client opened a watch");
     }
 }
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// Sends changes and heartbeats until the client is gone or discovery is unavailable.
+/// Sends changes and heartbeats until the client disconnects or the service becomes unavailable.
 fn serve_watch(stream: &mut TcpStream, shared: &Shared) {
     let head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     if stream.write_all(head).is_err() {
--- a/crates/testbed/src/scripted/message.rs
+++ b/crates/testbed/src/scripted/message.rs
@@ -1,4 +1,4 @@
-//! Parsing of one HTTP message, for the scripted servers and clients.
+//! Minimal HTTP/1.1 message parser for the scripted servers and clients.
 
 use std::io::BufRead;
 
@@ -10,13 +10,13 @@
     pub value: String,
 }
 
-/// One message as it was received.
+/// An HTTP message as received.
 pub struct Message {
     /// The request line or the status line.
     pub start_line: String,
-    /// Headers, in the order received.
+    /// Headers, in the order in which they were received.
     pub headers: Vec<Header>,
-    /// As many bytes as `Content-Length` states.
+    /// Body, with the length that `Content-Length` states; empty without that header.
     pub body: Vec<u8>,
 }
 
@@ -24,7 +24,7 @@
     /// Reads a message; `None` if the connection ends before it is complete.
     ///
     /// # Panics
-    /// Panics if the content length is no number.
+    /// Panics if the content length is not a number.
     pub fn read(reader: &mut impl BufRead) -> Option<Message> {
         let start_line = read_line(reader)?;
         let mut headers = Vec::new();
@@ -47,7 +47,7 @@
         Some(message)
     }
 
-    /// Returns the value of the first header of that name, given in lower case.
+    /// Returns the value of the first header with this name, which is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|header| header.name == name);
         header.map(|header| header.value.as_str())
--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -1,17 +1,17 @@
-//! A node with its discovery, servers and clients, all on loopback sockets, for tests that prescribe every byte.
+//! A node with its discovery, servers and clients on loopback sockets, for tests that control every byte.
 //!
-//! Threads and blocking sockets, one thread for each connection: slow, but the order of events is plain. The integration
-//! tests of this package call it; a peer that a test did not prescribe panics, so that the test fails.
+//! Uses blocking sockets with one thread per connection: slow, but the order of events is easy to follow. Used by the
+//! integration tests of this package. Unexpected input panics, so that the test fails.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `sockets` | listeners, and a thread for each connection |
-//! | `message` | parsing of one HTTP message |
-//! | `discovery` | the discovery service of the platform, with the lines that a test prescribes |
-//! | `server` | servers that respond as a test prescribes |
+//! | `message` | HTTP message parser |
+//! | `discovery` | the platform's discovery service, which sends the lines that a test specifies |
+//! | `server` | servers that respond as a test specifies |
 //! | `node` | the process of the program under test |
-//! | `configuration` | the configuration of a platform |
-//! | `client` | requests of clients and operators |
+//! | `configuration` | the configuration that the platform writes |
+//! | `client` | requests from clients and operators |
 
 mod client;
 mod configuration;
@@ -34,5 +34,5 @@
 
 use std::time::Duration;
 
-/// Longest wait in these tests; one that passes needs a small part of it.
+/// Timeout of all waits. It is far longer than a passing test needs.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/testbed/src/scripted/node.rs
+++ b/crates/testbed/src/scripted/node.rs
@@ -1,4 +1,4 @@
-//! The process of the program under test, with the configuration of a platform.
+//! The program under test as a process, with a configuration in the platform's format.
 
 use super::client::{read_response, try_connect};
 use super::{Message, PlatformConfiguration, WAIT_TIMEOUT};
@@ -16,28 +16,28 @@
 /// Deadline of all classes.
 const DEADLINE: Duration = Duration::from_secs(6);
 
-/// The program under test. It is killed when this is dropped.
+/// A running node process. Dropping it kills the process.
 pub struct Node {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     /// The management address.
     pub management: SocketAddr,
     child: Child,
     config_path: PathBuf,
     max_sockets: usize,
-    /// Its `TMPDIR`; the processes of an upgrade share it.
+    /// `TMPDIR` of the process, shared by the processes of an upgrade.
     folder: Arc<Folder>,
     discovery: SocketAddr,
-    /// Of the address for clients; the processes of an upgrade share it.
+    /// Reservation of the port for clients, shared by the processes of an upgrade.
     port: Arc<Port>,
     _management_port: Port,
 }
 
 impl Node {
-    /// Starts the program, and waits until it is ready.
+    /// Starts the program and waits until it is ready.
     ///
     /// # Panics
-    /// Panics if the program does not start, ends, or is not ready within [`WAIT_TIMEOUT`].
+    /// Panics if the program can't be started, exits, or is not ready within [`WAIT_TIMEOUT`].
     pub fn start(program: &Program, discovery: SocketAddr, max_sockets: usize) -> Node {
         let folder = Folder::new().expect("a temporary folder can be created");
         let port = Port::reserve().expect("a port is left");
@@ -54,7 +54,7 @@
             node.assert_running();
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "the node does not get ready"
+                "the node did not become ready in time"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -93,18 +93,18 @@
         }
     }
 
-    /// Panics if the program has ended.
+    /// Panics if the process has exited.
     fn assert_running(&mut self) {
         let status = self.child.try_wait().expect("the process is a child");
         if let Some(status) = status {
-            panic!("the node has ended by itself: {status}");
+            panic!("the node exited unexpectedly: {status}");
         }
     }
 
-    /// Starts the program again at the same address, as an upgrade does, and waits until it is ready.
+    /// Starts a second process on the same address, as an upgrade does, and waits until it is ready.
     ///
     /// # Panics
-    /// Panics if the program does not start, ends, or is not ready within [`WAIT_TIMEOUT`].
+    /// Panics if the program can't be started, exits, or is not ready within [`WAIT_TIMEOUT`].
     pub fn start_successor(&self, program: &Program) -> Node {
         let mut node = self.spawn_successor(program);
         let started = Instant::now();
@@ -112,17 +112,17 @@
             node.assert_running();
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "the new process does not get ready"
+                "the successor did not become ready in time"
             );
             std::thread::sleep(Duration::from_millis(5));
         }
         node
     }
 
-    /// Starts the program again at the same address.
+    /// Starts a second process on the same address without waiting for it.
     ///
     /// # Panics
-    /// Panics if the program does not start.
+    /// Panics if the program can't be started.
     pub fn spawn_successor(&self, program: &Program) -> Node {
         Node::spawn(
             program,
@@ -138,7 +138,7 @@
         self.child.id()
     }
 
-    /// Whether the readiness path responds 200.
+    /// Whether the readiness path of the management address responds with 200.
     fn is_ready(&self) -> bool {
         let Some(mut stream) = try_connect(self.management) else {
             return false;
@@ -147,18 +147,18 @@
         read_response(&stream).is_some_and(|response| response.status == 200)
     }
 
-    /// Its `TMPDIR`.
+    /// Path of the process's `TMPDIR`.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
 
-    /// Kills the program.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Replaces the configuration by one with another discovery.
+    /// Rewrites the configuration with another discovery address.
     ///
     /// # Panics
     /// Panics if the file can't be written.
@@ -166,7 +166,7 @@
         self.write_configuration(&configuration(self.address, discovery, self.max_sockets));
     }
 
-    /// Replaces the configuration by an incomplete one.
+    /// Overwrites the configuration with invalid JSON.
     ///
     /// # Panics
     /// Panics if the file can't be written.
@@ -178,16 +178,16 @@
         std::fs::write(&self.config_path, text).expect("the configuration can be written");
     }
 
-    /// Waits for the end of the program; returns whether it was successful.
+    /// Waits for the process to exit; returns whether it succeeded.
     ///
     /// # Panics
-    /// Panics if the process was waited for by somebody else.
+    /// Panics if waiting for the process fails.
     pub fn wait(&mut self) -> bool {
         let status = self.child.wait().expect("the process is a child");
         status.success()
     }
 
-    /// Sends a signal, by its name.
+    /// Sends the signal with this name, such as `TERM`.
     ///
     /// # Panics
     /// Panics if the signal can't be sent.
@@ -197,7 +197,10 @@
             .args(["-s", name, &pid])
             .status()
             .expect("the system has `kill`");
-        assert!(status.success(), "no signal {name} to process {pid}");
+        assert!(
+            status.success(),
+            "signal {name} could not be sent to process {pid}"
+        );
     }
 }
 
@@ -208,7 +211,7 @@
     }
 }
 
-/// A configuration as the platform writes it.
+/// Formats the configuration of a node with the defaults of these tests.
 fn configuration(listen: SocketAddr, discovery: SocketAddr, max_sockets: usize) -> String {
     let configuration = PlatformConfiguration {
         listen,
--- a/crates/testbed/src/scripted/server.rs
+++ b/crates/testbed/src/scripted/server.rs
@@ -1,4 +1,4 @@
-//! Servers that respond as a test prescribes, and one that a test releases request by request.
+//! Servers that respond as a test specifies, including one that holds each request until the test releases it.
 
 use super::{serve, Message};
 use std::io::{BufReader, Write};
@@ -6,15 +6,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Barrier};
 
-/// A server that responds as a test prescribes.
+/// A server whose responses are written by a closure of the test.
 pub struct Server {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     requests: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// Starts a server that calls `respond` with each request, its number from 0, and the socket.
+    /// Starts a server that calls `respond` with each request, the number of requests before it, and the socket.
     ///
     /// # Panics
     /// The thread of a connection panics if its socket can't be cloned.
@@ -33,31 +33,31 @@
         Server { address, requests }
     }
 
-    /// Starts a server that responds 200 with the id of the request.
+    /// Starts a server that responds to each request with [`ok_response`].
     pub fn healthy() -> Server {
         Server::start(|request, _, stream| {
             let _ = stream.write_all(&ok_response(request));
         })
     }
 
-    /// Number of requests so far.
+    /// Number of requests received so far.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 }
 
-/// A server that lets each request wait until the test releases it.
+/// A server that holds each request until the test releases it.
 pub struct GatedServer {
-    /// The server.
+    /// The server that is controlled by the barriers.
     pub server: Server,
-    /// Passed with the server when a request has arrived.
+    /// Barrier that the server and the test pass when a request has arrived.
     pub arrived: Arc<Barrier>,
-    /// Passed with the server to let it respond.
+    /// Barrier that the server and the test pass before the server responds.
     pub release: Arc<Barrier>,
 }
 
 impl GatedServer {
-    /// Starts the server.
+    /// Starts a server whose responses wait for the barriers.
     pub fn start() -> GatedServer {
         let arrived = Arc::new(Barrier::new(2));
         let release = Arc::new(Barrier::new(2));
@@ -75,7 +75,7 @@
     }
 }
 
-/// The response 200 to a request, with its id as the body.
+/// Formats a response with status 200 whose body is the correlation id of the request.
 pub fn ok_response(request: &Message) -> Vec<u8> {
     let id = request.header("x-correlation-id").unwrap_or("none");
     let length = id.len();
