--- a/crates/testbed/src/pool.rs
+++ b/crates/testbed/src/pool.rs
@@ -1,19 +1,19 @@
-//! Upstream servers with a fixed capacity, injected faults and a count of the effects of requests.
+//! Upstream servers with a fixed capacity and injected faults, which count the effects of requests.
 //!
-//! A server has a fixed number of workers. A request waits for one, occupies it for the service time and takes effect
-//! when that time begins. A client that disconnects does not stop the work, as with real servers. Scenarios,
-//! measurements, demos and tests start pools.
+//! A server has a fixed number of workers. A request waits for a free worker, takes effect and then occupies the
+//! worker for the service time. As with real servers, the work continues if the client disconnects. Used by scenarios,
+//! measurements, demos and tests.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `app` | the application that a server may run |
 //! | `behavior` | service time and injected faults |
-//! | `slow_start` | the reduced capacity of a server that has just started |
-//! | `server` | one server: its listener and its controls |
-//! | `server_state` | what a server has received and done |
-//! | `respond` | one request at a server |
-//! | `work` | how the work on one request ends |
-//! | `response` | the responses of a server |
+//! | `slow_start` | simulation of the reduced capacity after a start |
+//! | `server` | one server: listener, controls and counters |
+//! | `server_state` | counters and current behavior of a server |
+//! | `respond` | handling of one request |
+//! | `work` | service time, effects and fault of one request |
+//! | `response` | building of responses |
 
 mod app;
 mod behavior;
@@ -33,7 +33,7 @@
 use crate::Result;
 use std::collections::HashMap;
 
-/// Workers of each server of a pool that runs no application.
+/// Number of workers of each server in a pool that runs no application.
 const DEFAULT_WORKERS: usize = 1;
 
 /// Several servers with the same behavior.
@@ -85,7 +85,7 @@
         Ok(Pool { servers })
     }
 
-    /// How often each request id has taken effect, over all servers.
+    /// How often each effect id has taken effect, summed over all servers.
     pub fn effect_counts(&self) -> HashMap<String, u32> {
         let mut totals = HashMap::new();
         for (id, count) in self.servers.iter().flat_map(Server::effect_counts) {
@@ -94,7 +94,7 @@
         totals
     }
 
-    /// The number of request ids that took effect more than once.
+    /// Number of effect ids that took effect more than once.
     pub fn duplicate_effects(&self) -> usize {
         self.effect_counts()
             .values()
@@ -102,12 +102,12 @@
             .count()
     }
 
-    /// Requests that all servers have received so far.
+    /// Number of requests received so far, summed over all servers.
     pub fn requests_received(&self) -> u64 {
         self.servers.iter().map(Server::requests_received).sum()
     }
 
-    /// The servers as sections of a settings file.
+    /// Formats the servers as `[[service.server]]` sections of a settings file.
     pub fn server_settings(&self) -> String {
         let section = |server: &Server| {
             format!(
--- a/crates/testbed/src/pool/behavior.rs
+++ b/crates/testbed/src/pool/behavior.rs
@@ -1,43 +1,43 @@
-//! The behavior of a server: service time and injected faults. Set by whoever starts the server.
+//! Configurable behavior of a server: service time and injected faults.
 
 use std::time::Duration;
 
-/// The behavior of a server; each field can be changed while the server runs.
+/// The behavior of a server. Every field can be changed while the server runs.
 #[derive(Clone, Debug)]
 pub struct ServerBehavior {
-    /// How long a request occupies a worker.
+    /// Time for which a request occupies a worker.
     pub service_time: Duration,
-    /// Share of requests that are answered with 500 at once, after their effect.
+    /// Fraction of requests that take effect and are answered with 500 immediately.
     pub error_ratio: f64,
-    /// Share of requests that are shed unprocessed: 503 with `X-Unprocessed`.
+    /// Fraction of requests that are rejected unprocessed, with 503 and `X-Unprocessed`.
     pub shed_ratio: f64,
-    /// Share of requests whose connection is closed before any effect.
+    /// Fraction of requests whose connection is closed before any effect.
     pub close_before_effect_ratio: f64,
-    /// Share of requests whose connection is closed after the effect, without a response.
+    /// Fraction of requests whose connection is closed after the effect, without a response.
     pub close_after_effect_ratio: f64,
-    /// While this is set, no request makes progress.
+    /// While set, new requests make no progress.
     pub is_frozen: bool,
-    /// Bytes that are appended to the body of a response.
+    /// Number of bytes that are appended to the body of a response.
     pub padding_len: usize,
-    /// Share of responses that are corrupt, after their effect.
+    /// Fraction of requests that take effect and whose response is corrupt.
     pub corrupt_ratio: f64,
-    /// How they are corrupt.
+    /// The kind of corruption.
     pub corruption: Corruption,
 }
 
 /// Ways in which a response can be corrupt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Corruption {
-    /// Half of the body, with a matching content length.
+    /// Half of the body, with a content length that matches.
     Truncated,
-    /// A body of another content type.
+    /// A body in another format than JSON.
     WrongContentType,
-    /// The well-formed response to another request.
+    /// A well-formed response that belongs to another request.
     OtherResponse,
 }
 
 impl ServerBehavior {
-    /// Serves each request in the given time and never fails.
+    /// Behavior without faults.
     pub fn healthy(service_time: Duration) -> ServerBehavior {
         ServerBehavior {
             service_time,
--- a/crates/testbed/src/pool/respond.rs
+++ b/crates/testbed/src/pool/respond.rs
@@ -1,4 +1,4 @@
-//! One request at a server, from its head to its response. Called by `server` for each request of a connection.
+//! Handles one request at a server. Called by `server` for each request on a connection.
 
 use super::app::{AppResponse, Completion};
 use super::response::{self, ConnectionClosed, ResponseBody};
@@ -9,10 +9,10 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use std::sync::Arc;
 
-/// The header with the id of a request.
+/// Header that holds the id of a request.
 const CORRELATION_ID: &str = "x-correlation-id";
 
-/// Responds to one request.
+/// Handles a request; on an error the connection is closed.
 pub(super) async fn respond(
     state: Arc<ServerState>,
     request: Request<Incoming>,
@@ -31,7 +31,7 @@
     };
     let effect_ids = std::mem::take(&mut app_response.effect_ids);
     let completion = app_response.completion;
-    // The work continues if the client disconnects, so it is a task of its own.
+    // Runs as a separate task so that the work continues if the client disconnects.
     let worker_state = state.clone();
     let work =
         tokio::spawn(async move { work::process(&worker_state, &effect_ids, completion).await });
@@ -47,7 +47,7 @@
         .to_owned()
 }
 
-/// The response of a server without an application: the id of the request, which is its one effect.
+/// The response of a server without an application: the request id, which is also the id of its only effect.
 fn echo_id(id: String) -> AppResponse {
     AppResponse {
         effect_ids: vec![id.clone()],
--- a/crates/testbed/src/pool/response.rs
+++ b/crates/testbed/src/pool/response.rs
@@ -1,4 +1,4 @@
-//! The responses of a server. Called by `respond`.
+//! Builds the responses of a server. Called by `respond`.
 
 use super::behavior::Corruption;
 use bytes::Bytes;
@@ -8,19 +8,19 @@
 use hyper::header::{HeaderValue, CONTENT_LENGTH};
 use hyper::{Response, StatusCode};
 
-/// The header of a request that was shed before any processing.
+/// Response header that marks a request as rejected before any processing.
 const UNPROCESSED: &str = "x-unprocessed";
 const NOT_JSON: &str = "<html>oops</html>";
 const OTHER_RESPONSE: &str = "{\"data\":{\"somebodyElses\":1}}";
 
-/// Closes the connection without a complete response.
+/// Makes hyper close the connection without a complete response.
 #[derive(Debug, thiserror::Error)]
-#[error("the server died")]
+#[error("the server closed the connection")]
 pub(super) struct ConnectionClosed;
 
 pub(super) type ResponseBody = BoxBody<Bytes, ConnectionClosed>;
 
-/// A complete response.
+/// A response with the whole body.
 pub(super) fn full(status: StatusCode, body: impl Into<Bytes>) -> Response<ResponseBody> {
     let body = Full::new(body.into()).map_err(|never| match never {});
     let mut response = Response::new(body.boxed());
@@ -28,12 +28,12 @@
     response
 }
 
-/// The response of a server that has failed.
+/// The response to a request with an injected error.
 pub(super) fn failed() -> Response<ResponseBody> {
     full(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")
 }
 
-/// The response of a server that sheds load.
+/// The response to a request that the server rejects unprocessed.
 pub(super) fn shed() -> Response<ResponseBody> {
     let mut response = full(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
     response
@@ -42,7 +42,7 @@
     response
 }
 
-/// A response with the full content length, of which half is sent.
+/// A response that states the full content length, but breaks off after half of the body.
 pub(super) fn truncated(status: StatusCode, body: &str) -> Response<ResponseBody> {
     let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
     let frames = futures_util::stream::iter([Ok(Frame::data(half)), Err(ConnectionClosed)]);
--- a/crates/testbed/src/pool/server.rs
+++ b/crates/testbed/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! One server: its listener, its controls and its counters. Started by [`super::Pool`], and alone by tests.
+//! One server: its listener, controls and counters. Started by [`super::Pool`], and directly by tests.
 
 use super::app::App;
 use super::behavior::ServerBehavior;
@@ -16,18 +16,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// One server. It ends when this is dropped.
+/// A running server. Dropping it stops the server.
 pub struct Server {
-    /// Its name.
+    /// Name of the server in settings, endpoint lists and registry entries.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     state: Arc<ServerState>,
     _accept_task: AbortOnDrop,
 }
 
 impl Server {
-    /// Starts a server at any free port of the loopback address.
+    /// Starts a server on a free port of the loopback address.
     ///
     /// # Errors
     /// If no port is available.
@@ -40,7 +40,7 @@
         Self::bind(any_port(), name, workers, behavior, seed, None).await
     }
 
-    /// Starts a server that runs an application, at any free port of the loopback address.
+    /// Starts a server that runs an application, on a free port of the loopback address.
     ///
     /// # Errors
     /// If no port is available.
@@ -54,7 +54,7 @@
         Self::bind(any_port(), name, workers, behavior, seed, Some(app)).await
     }
 
-    /// Starts a server at an address.
+    /// Starts a server on the given address.
     ///
     /// # Errors
     /// If the address can't be bound.
@@ -78,30 +78,30 @@
         })
     }
 
-    /// Changes the behavior from now on.
+    /// Changes the behavior for subsequent requests; a change of `is_frozen` also affects requests that are waiting.
     pub fn update_behavior(&self, change: impl FnOnce(&mut ServerBehavior)) {
         change(&mut lock(&self.state.behavior));
     }
 
-    /// Calls an observer for each event of a request from now on.
+    /// Sets the observer, which is called for each later event of a request.
     pub fn set_observer(&self, observer: Observer) {
         *lock(&self.state.observer) = Some(observer);
     }
 
-    /// Begins slow start, as if the server had started now.
+    /// Starts the slow-start phase, as if the server had just started.
     pub fn begin_slow_start(&self, config: SlowStart) {
         *lock(&self.state.slow_start) = Some(SlowStartState::new(config, Instant::now()));
     }
 
-    /// The highest rate of requests during slow start, as a multiple of the capacity at that time. Beyond
-    /// [`SlowStart::overload_factor`] the server has collapsed: it closes every connection.
+    /// The highest request rate during slow start, as a multiple of the capacity at that time. If it exceeds
+    /// [`SlowStart::overload_factor`], the server has collapsed and closes the connection of every request.
     pub fn peak_overload(&self) -> f64 {
         lock(&self.state.slow_start)
             .as_ref()
             .map_or(0.0, SlowStartState::peak_overload)
     }
 
-    /// Requests received so far.
+    /// Number of requests received so far.
     pub fn requests_received(&self) -> u64 {
         lock(&self.state.counters).requests
     }
@@ -111,17 +111,17 @@
         lock(&self.state.counters).last_request_at
     }
 
-    /// How often each request id has taken effect here.
+    /// How often each effect id has taken effect at this server.
     pub fn effect_counts(&self) -> HashMap<String, u32> {
         lock(&self.state.counters).effects.clone()
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         lock(&self.state.connections).len()
     }
 
-    /// The highest number of connections that were open at once.
+    /// The highest number of connections that were open at the same time.
     pub fn max_open_connections(&self) -> usize {
         *lock(&self.state.max_open_connections)
     }
@@ -132,7 +132,7 @@
 }
 
 async fn accept_connections(listener: TcpListener, state: Arc<ServerState>) {
-    // Connections end with the server.
+    // Dropping the set ends the connections together with the server.
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -142,7 +142,7 @@
         let Ok(handle) = socket2::SockRef::from(&stream).try_clone() else {
             continue;
         };
-        // Counted in the order in which they were accepted.
+        // Added here rather than in the task, so that connections are counted in the order of acceptance.
         state.add_connection(peer, handle);
         connections.spawn(serve_connection(stream, peer, state.clone()));
     }
@@ -151,7 +151,7 @@
 async fn serve_connection(stream: TcpStream, peer: SocketAddr, state: Arc<ServerState>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| respond(state.clone(), request));
-    // Tests and faults break connections on purpose: an error here is no failure of the server.
+    // Tests and injected faults break connections on purpose, so errors are ignored.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/crates/testbed/src/pool/server_state.rs
+++ b/crates/testbed/src/pool/server_state.rs
@@ -1,4 +1,4 @@
-//! What a server has received and done, and its present behavior. Shared by `server` and the requests in progress.
+//! Counters and current behavior of a server. Shared by `server` and the requests in progress.
 
 use super::app::App;
 use super::behavior::ServerBehavior;
@@ -11,10 +11,10 @@
 use std::time::Instant;
 use tokio::sync::Semaphore;
 
-/// A lower bound of the service time, so that the capacity is finite.
+/// Lower bound of the service time in the calculation of the capacity, which keeps the capacity finite.
 const MIN_SERVICE_SECONDS: f64 = 1e-6;
 
-/// An event of a request at a server.
+/// An event in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
     /// The head of the request has been received.
@@ -23,19 +23,19 @@
     EffectApplied,
 }
 
-/// Is called at once with the id of a request and its event.
+/// Called synchronously with the id of a request or effect, and the event.
 pub type Observer = Arc<dyn Fn(&str, RequestEvent) + Send + Sync>;
 
 /// Counters of one server.
 #[derive(Default)]
 pub(super) struct Counters {
-    /// How often each request id has taken effect.
+    /// How often each effect id has taken effect.
     pub(super) effects: HashMap<String, u32>,
     pub(super) requests: u64,
     pub(super) last_request_at: Option<Instant>,
 }
 
-/// The state of one server.
+/// The state of one server, which its tasks share.
 pub(super) struct ServerState {
     pub(super) app: Option<App>,
     pub(super) observer: Mutex<Option<Observer>>,
@@ -45,12 +45,12 @@
     pub(super) free_workers: Semaphore,
     pub(super) worker_count: usize,
     pub(super) slow_start: Mutex<Option<SlowStartState>>,
-    /// A second handle of each socket, to detect ends of connections that have not been read yet.
+    /// A duplicate handle of each socket, to detect closed connections whose end has not been read yet.
     pub(super) connections: Mutex<HashMap<SocketAddr, socket2::Socket>>,
     pub(super) max_open_connections: Mutex<usize>,
 }
 
-/// Locks a mutex, also after a panic of its former owner.
+/// Locks a mutex, ignoring poisoning.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -92,7 +92,7 @@
         counters.last_request_at = Some(Instant::now());
     }
 
-    /// Counts a request for slow start. Returns whether the server withstands it.
+    /// Counts a request for slow start. Returns `false` if the server has collapsed.
     pub(super) fn admit(&self) -> bool {
         let service_seconds = lock(&self.behavior).service_time.as_secs_f64();
         let capacity = self.worker_count as f64 / service_seconds.max(MIN_SERVICE_SECONDS);
--- a/crates/testbed/src/pool/slow_start.rs
+++ b/crates/testbed/src/pool/slow_start.rs
@@ -1,5 +1,5 @@
-//! The reduced capacity of a server that has just started, and its collapse under too many requests. Called by
-//! `server_state` for each request.
+//! Simulates slow start: a server that has just started has a reduced capacity and collapses under too many requests.
+//! Called by `server_state` for each request.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,21 +9,21 @@
 const DEFAULT_OVERLOAD_FACTOR: f64 = 3.0;
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// How the capacity of a server grows after its start, and what overload it withstands until then.
+/// How the capacity of a server grows after its start, and which overload it withstands meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The share of the full capacity at the start; it grows linearly.
+    /// Fraction of the full capacity that is available at the start. It grows linearly.
     pub initial_capacity: f64,
-    /// The server has its full capacity after this time.
+    /// Time after which the full capacity is available.
     pub duration: Duration,
-    /// A server that receives more than this multiple of its present capacity collapses.
+    /// The server collapses if it receives more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The time over which requests are counted.
+    /// Length of the sliding window in which requests are counted.
     pub overload_window: Duration,
 }
 
 impl Default for SlowStart {
-    /// The defaults of a service's settings.
+    /// The same values as the defaults of a service's settings.
     fn default() -> SlowStart {
         SlowStart {
             initial_capacity: DEFAULT_INITIAL_CAPACITY,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The requests that a server has received since its start.
+/// Load of a server since its start, relative to its capacity.
 pub(super) struct SlowStartState {
     config: SlowStart,
     started_at: Instant,
@@ -52,24 +52,23 @@
         }
     }
 
-    /// The highest multiple of the capacity at that time which the server has received.
+    /// The highest request rate so far, as a multiple of the capacity at that time.
     pub(super) fn peak_overload(&self) -> f64 {
         self.peak_overload
     }
 
-    /// Counts a request at a server with this full capacity, in requests per second. Returns whether the server
-    /// withstands it.
+    /// Counts a request; `full_capacity` is in requests per second. Returns `false` if the server has collapsed.
     pub(super) fn admit(&mut self, now: Instant, full_capacity: f64) -> bool {
         let age = now.saturating_duration_since(self.started_at);
         if age < self.config.duration {
             self.recent_requests.push_back(now);
             self.drop_old_requests(now);
-            let capacity = full_capacity * self.capacity_share(age);
+            let capacity = full_capacity * self.capacity_fraction(age);
             let window = self.config.overload_window.as_secs_f64();
             let overload = self.recent_requests.len() as f64 / (capacity * window);
             self.peak_overload = self.peak_overload.max(overload);
         }
-        // A server that has collapsed stays so.
+        // A collapse is permanent.
         self.peak_overload <= self.config.overload_factor
     }
 
@@ -81,7 +80,7 @@
         }
     }
 
-    fn capacity_share(&self, age: Duration) -> f64 {
+    fn capacity_fraction(&self, age: Duration) -> f64 {
         let initial = self.config.initial_capacity;
         let progress = age.as_secs_f64() / self.config.duration.as_secs_f64();
         initial + (1.0 - initial) * progress
--- a/crates/testbed/src/pool/work.rs
+++ b/crates/testbed/src/pool/work.rs
@@ -1,13 +1,13 @@
-//! The work on one request at a server: its service time, its effects and its injected fault. Called by `respond`.
+//! Processes one request at a server: service time, effects and injected fault. Called by `respond`.
 
 use super::app::Completion;
 use super::server_state::{lock, ServerState};
 use std::time::Duration;
 
-/// How often a frozen server checks whether it may continue.
+/// Interval at which a frozen request checks whether it may continue.
 const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the work on a request has ended.
+/// The outcome of processing a request.
 pub(super) enum WorkOutcome {
     Completed,
     Failed,
@@ -17,14 +17,14 @@
     ConnectionClosed,
 }
 
-/// Works on a request and applies its effects.
+/// Processes a request and applies its effects.
 pub(super) async fn process(
     state: &ServerState,
     effect_ids: &[String],
     completion: Completion,
 ) -> WorkOutcome {
     let behavior = lock(&state.behavior).clone();
-    // One sample selects at most one fault: the faults divide the range [0, 1) in the order of their checks.
+    // One sample selects at most one fault: each fault covers a part of [0, 1), in the order of the checks.
     let sample = lock(&state.rng).next_fraction();
     wait_while_frozen(state).await;
     let mut threshold = behavior.shed_ratio;
