--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,5 +1,5 @@
-//! One HTTP client: it reuses idle connections and opens more when all are busy. Used by the load generator, scenarios and
-//! tests.
+//! An HTTP/1.1 client with a connection pool: it reuses idle connections and opens a new one if none is idle. Used by the
+//! load generator, the relay, scenarios and tests.
 
 use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
@@ -14,38 +14,38 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// A connection that has been idle for longer is not reused. The node closes idle connections after 5 s; a request that
-/// crosses that is lost, and one that must run at most once can't be sent again.
+/// Idle time after which a connection is no longer reused. The node closes idle connections after 5 s. A request that is
+/// sent while the node closes the connection is lost, and one that must take effect at most once can't be retried.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A complete response.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
-    /// Its status.
+    /// Status code of the response.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the response, read to its end.
     pub body: Bytes,
 }
 
-/// Why a request has no response, and what its connection was used for before.
+/// A request failed without a complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("{source}, on {connection}")]
 pub struct RequestError {
-    /// The connection that it was sent on.
+    /// Whether the connection was new or reused.
     pub connection: ConnectionUse,
-    /// What went wrong.
+    /// The underlying error.
     #[source]
     pub source: crate::Error,
 }
 
-/// The former use of a connection.
+/// Whether a connection had been used before the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionUse {
-    /// None.
+    /// The connection was opened for the request.
     New,
-    /// It had been idle for this time.
+    /// The connection was reused after this idle time.
     Reused(Duration),
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// A response whose body has not been read, and its connection.
+/// A response whose body has not been read yet, and the connection on which it arrives.
 struct Exchange {
     connection: Connection,
     response: Response<Incoming>,
@@ -69,7 +69,7 @@
     _task: AbortOnDrop,
 }
 
-/// A client of one address.
+/// An HTTP client for one server address.
 pub struct Client {
     address: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
@@ -87,7 +87,7 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client. Connections are opened on demand.
     pub fn new(address: SocketAddr) -> Client {
         Client {
             address,
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Sends a request and reads its response. A request that was not read because its idle connection was closed is sent
-    /// again on a new connection, once.
+    /// Sends a request and reads the response. A request that could not be sent because the reused connection was closed is
+    /// sent once more on a new connection.
     ///
     /// # Errors
-    /// If the connection breaks before the response is complete.
+    /// Fails if no connection can be opened, or if it breaks before the response is complete.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -113,7 +113,7 @@
         result.map_err(|source| RequestError { connection, source })
     }
 
-    /// Sends a request on an idle connection, if there is one, or on a new one.
+    /// Sends a request on the given idle connection or, without one, on a new connection.
     async fn send_on(
         &self,
         idle: Option<IdleConnection>,
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The platform's discovery service: the whole list of servers on request, and updates on a watch. Started by scenarios,
-//! measurements, tests and the command `discovery`.
+//! The platform's discovery service: it serves the complete endpoint list on request, and updates on a watch. Used by
+//! scenarios, measurements, tests and the command `discovery`.
 
 use crate::{AbortOnDrop, Result};
 use bytes::Bytes;
@@ -20,21 +20,21 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// A watch without an update gets an empty line at this interval.
+/// Interval at which an empty line is sent on a watch without updates.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const WATCH_PARAMETER: &str = "watch=1";
 const DEFAULT_ZONE: &str = "a";
-/// The index of the list at the start.
+/// Index of the initial list.
 const FIRST_INDEX: u64 = 1;
 
 /// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// It takes requests.
+    /// The server takes requests.
     Active,
-    /// It takes no new requests.
+    /// The server takes no new requests.
     Draining,
-    /// It has left the list.
+    /// The server is removed from the list.
     Left,
 }
 
@@ -48,23 +48,23 @@
     }
 }
 
-/// A server of the list.
+/// A server in the list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// The server's name.
+    /// Name by which the node identifies the server.
     pub name: String,
-    /// Its address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Its status.
+    /// Status of the server in the list.
     pub status: ServerStatus,
-    /// Since when, in milliseconds of Unix time; 0 for long ago.
+    /// Time since which the server has had this status, in Unix milliseconds; 0 for long ago.
     pub since_ms: u64,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: String,
 }
 
 impl ListedServer {
-    /// A server that has been active for long.
+    /// A server in the default zone that has been active for a long time.
     pub fn active(name: &str, address: SocketAddr) -> ListedServer {
         ListedServer {
             name: name.to_owned(),
@@ -83,7 +83,7 @@
     }
 }
 
-/// The present list and its version.
+/// The current list and its index.
 struct ServerList {
     index: u64,
     servers: Vec<ListedServer>,
@@ -94,7 +94,7 @@
         message(self.index, true, &self.servers)
     }
 
-    /// Replaces servers. Returns the update for watches.
+    /// Adds, replaces or removes the changed servers. Returns the update to send to watches.
     fn apply(&mut self, changed: &[ListedServer]) -> String {
         self.index += 1;
         for server in changed {
@@ -118,9 +118,9 @@
     list.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The discovery service. It ends when this is dropped.
+/// A running discovery service. Dropping it stops the service.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     list: SharedList,
     updates: watch::Sender<String>,
@@ -128,7 +128,7 @@
 }
 
 impl Discovery {
-    /// Starts with a list.
+    /// Starts the service with an initial list.
     ///
     /// # Errors
     /// If no port is available.
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Replaces servers of the list and sends the update to every watch.
+    /// Adds, replaces or removes the changed servers, and sends the update to every watch.
     pub fn update(&self, changed: &[ListedServer]) {
         let mut list = lock(&self.list);
         let update = list.apply(changed);
@@ -197,7 +197,7 @@
     Ok(Response::new(body))
 }
 
-/// The lines of a watch: the whole list first, so that no update between two requests is missed; then updates and
+/// The lines of a watch: first the complete list, so that no update between two requests is missed, then updates and
 /// heartbeats.
 fn watch_lines(
     snapshot: String,
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -1,6 +1,8 @@
-//! A network path to a server, with faults: bytes are delayed, frozen, cut, throttled, or lost in one direction.
+//! A TCP proxy in front of a server that injects network faults: delays, freezes, cuts, throttling, and loss in one
+//! direction.
 //!
-//! Each node of a [`fleet`](crate::fleet) reaches each server by one; tests and the command `link` start them, too.
+//! In a [`fleet`](crate::fleet), each node reaches each server through its own link. Also used by tests and the command
+//! `link`.
 
 use crate::{AbortOnDrop, Result};
 use std::net::SocketAddr;
@@ -10,35 +12,35 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes that are forwarded at a time.
+/// Maximum number of bytes that are read and forwarded at a time.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Interval at which a stalled connection looks whether it may continue.
+/// Interval at which a stalled connection checks whether it may continue.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Interval at which a frozen connection looks whether it may continue.
+/// Interval at which a frozen connection checks whether it may continue.
 const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a link does to its connections.
+/// Faults of a link, which apply to all its connections.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
-    /// Delay of each piece, in both directions.
+    /// Delay before each read is forwarded, in both directions.
     pub delay: Duration,
-    /// Nothing is forwarded, and no connection ends.
+    /// While set, nothing is forwarded, and connections stay open.
     pub is_frozen: bool,
-    /// A connection is cut once so many bytes have been forwarded to the server.
+    /// Number of bytes forwarded to the server after which a connection is cut.
     pub cut_after_bytes_to_server: Option<u64>,
-    /// A connection is cut once so many bytes have been forwarded to the client.
+    /// Number of bytes forwarded to the client after which a connection is cut.
     pub cut_after_bytes_to_client: Option<u64>,
-    /// What the server sends is dropped, while the connection stays open: half open.
+    /// Data from the server is dropped while the connection stays open (a half-open connection).
     pub drops_responses: bool,
-    /// Bytes a second, in each direction and for each connection.
+    /// Throughput limit for each direction of each connection.
     pub bytes_per_second: Option<u64>,
-    /// New connections are accepted, and not connected to the server.
+    /// While set, new connections are accepted but not connected to the server.
     pub stalls_new_connections: bool,
 }
 
-/// A network path to a server. It ends when this is dropped.
+/// A running proxy to a server. Dropping it closes its connections.
 pub struct Link {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     faults: Arc<Mutex<LinkFaults>>,
     _task: AbortOnDrop,
@@ -49,10 +51,10 @@
 }
 
 impl Link {
-    /// Starts a link without faults.
+    /// Starts a link without faults on a free port of the loopback address.
     ///
     /// # Errors
-    /// Fails if the system has no port left.
+    /// Fails if no port is available.
     pub async fn start(server: SocketAddr) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -75,7 +77,7 @@
         })
     }
 
-    /// Changes the faults, for open connections and for new ones.
+    /// Changes the faults for open and new connections.
     pub fn update_faults(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut lock(&self.faults));
     }
@@ -94,31 +96,31 @@
     let requests = forward(from_client, to_server, &faults, Direction::ToServer);
     let responses = forward(from_server, to_client, &faults, Direction::ToClient);
     tokio::pin!(requests, responses);
-    // The end of one direction is forwarded; a cut ends both.
+    // If one direction is closed, the shutdown is forwarded and the other direction continues; a cut ends both.
     tokio::select! {
         end = &mut requests => if end == DirectionEnd::Closed { responses.await; },
         end = &mut responses => if end == DirectionEnd::Closed { requests.await; },
     }
 }
 
-/// The direction in which bytes are forwarded.
+/// A direction of forwarding.
 #[derive(Clone, Copy, PartialEq)]
 enum Direction {
     ToServer,
     ToClient,
 }
 
-/// Why the forwarding in one direction has ended.
+/// Why forwarding in one direction ended.
 #[derive(Clone, Copy, PartialEq)]
 enum DirectionEnd {
-    /// The sender has closed it.
+    /// The sender closed its side of the connection.
     Closed,
-    /// By a fault, or as a socket has failed.
+    /// A fault cut the connection, or a socket failed.
     Cut,
 }
 
 impl LinkFaults {
-    /// How many bytes of a direction are forwarded before the connection is cut.
+    /// Number of bytes forwarded in a direction after which the connection is cut.
     fn cut_after_bytes(&self, direction: Direction) -> Option<u64> {
         match direction {
             Direction::ToServer => self.cut_after_bytes_to_server,
@@ -127,7 +129,7 @@
     }
 }
 
-/// Forwards bytes in one direction until its end.
+/// Forwards bytes in one direction until the connection is closed or cut.
 async fn forward(
     mut source: OwnedReadHalf,
     mut target: OwnedWriteHalf,
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,5 +1,5 @@
-//! A round-robin proxy with the same HTTP library as the node, and no decisions. Its costs are the baseline of the
-//! measurement `services`.
+//! A round-robin proxy that uses the same HTTP library as the node, but has no load-balancing logic. Its cost is the
+//! baseline of the measurement `services`.
 
 use crate::client::Client;
 use crate::Result;
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Serves for as long as it is polled.
+/// Forwards requests to `servers` in turn, for as long as the future is polled.
 ///
 /// # Errors
-/// Fails if the listener does.
+/// Fails if accepting a connection fails.
 pub async fn serve(listener: TcpListener, servers: Vec<SocketAddr>) -> Result<()> {
     let clients: Arc<Vec<Client>> = Arc::new(servers.into_iter().map(Client::new).collect());
     let next = Arc::new(AtomicUsize::new(0));
@@ -45,7 +45,7 @@
     Ok(response.unwrap_or_else(bad_gateway))
 }
 
-/// Forwards a request to the next server; `None` if that fails.
+/// Forwards a request to the next server; `None` if there is no complete response.
 async fn forward(
     clients: &[Client],
     next: &AtomicUsize,
