--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Open-loop load: requests at random times, whether or not responses arrive. Run by scenarios, measurements, tests and the
-//! command `load`.
+//! Open-loop load generator: requests are sent at random times, independent of the responses. Used by scenarios,
+//! measurements, tests and the command `load`.
 //!
-//! Latencies count from the time at which a request was due, so that a generator or a node that falls behind shows in
-//! them.
+//! Latency is measured from the scheduled time of a request, so that it includes delays of a generator or a node that
+//! falls behind.
 
 mod stats;
 
@@ -18,45 +18,46 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// A response this long after the deadline counts as lost.
+/// Time after the deadline at which a request without a response counts as lost.
 const RESPONSE_GRACE: Duration = Duration::from_secs(5);
-/// The deadline of [`Workload::evaluate`].
+/// Deadline of the requests of [`Workload::evaluate`].
 const EVALUATE_DEADLINE: Duration = Duration::from_secs(2);
-/// The body of a POST without another one.
+/// The default body of requests other than `GET`.
 const EMPTY_OBJECT: &[u8] = b"{}";
 
-/// A header of the requests of a workload.
+/// A header that is sent with each request of a workload.
 #[derive(Clone, Debug)]
 pub struct RequestHeader {
-    /// The name, in lower case.
+    /// Header name, in lower case.
     pub name: &'static str,
-    /// The value.
+    /// Header value, the same for all requests.
     pub value: String,
 }
 
-/// Similar requests and their rate.
+/// A stream of similar requests at an average rate.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The prefix of the request ids; unique within a run.
+    /// Prefix of the request ids; unique within a run.
     pub name: String,
-    /// The header `Host`.
+    /// Value of the header `Host`.
     pub host: String,
-    /// The method.
+    /// HTTP method of the requests.
     pub method: &'static str,
-    /// The path.
+    /// Request target, with a query if there is one.
     pub path: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<RequestHeader>,
-    /// The body of a POST, if it is not an empty object. Its responses are not the ids of their requests.
+    /// Request body of a method other than `GET`; `None` for an empty JSON object. With a body set, responses are not
+    /// checked to start with the request id.
     pub body: Option<Bytes>,
-    /// A later response is useless.
+    /// Time after which a response is no longer useful; sent as `x-time-left`.
     pub deadline: Duration,
     /// Requests per second, on average.
     pub rate: f64,
 }
 
 impl Workload {
-    /// Idempotent requests of the service of evaluations.
+    /// Idempotent requests to the service `evaluate`.
     pub fn evaluate(name: String, rate: f64) -> Workload {
         Workload {
             name,
@@ -94,14 +95,14 @@
         }
     }
 
-    /// Whether a response of status 200 belongs to another request.
+    /// Whether a response with status 200 belongs to another request.
     fn is_mismatch(&self, id: &str, response: &ClientResponse) -> bool {
         self.body.is_none() && !response.body.starts_with(id.as_bytes())
     }
 }
 
-/// Runs all workloads for a time and waits for their responses. The same seed gives the same times of requests. The
-/// statistics are in the order of the workloads.
+/// Runs all workloads concurrently for `duration` and waits for their responses. The same seed gives the same schedule.
+/// Returns the statistics in the order of the workloads.
 pub async fn run(
     address: SocketAddr,
     workloads: &[Workload],
--- a/crates/testbed/src/load/stats.rs
+++ b/crates/testbed/src/load/stats.rs
@@ -1,4 +1,4 @@
-//! Statistics of the requests of one workload. Filled in by [`super::run`].
+//! Request statistics of one workload, recorded by [`super::run`].
 
 use hdrhistogram::Histogram;
 use hyper::StatusCode;
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Latencies of up to a minute are recorded; higher ones count as a minute.
+/// Upper bound of recorded latencies, in microseconds: one minute. Higher latencies are recorded as one minute.
 const HISTOGRAM_RANGE_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 const US_PER_MS: f64 = 1e3;
 
-/// Statistics of the requests of one workload.
+/// Request statistics of one workload.
 #[derive(Clone, Debug)]
 pub struct LoadStats {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Responses, by status.
+    /// Number of responses by status code.
     pub statuses: BTreeMap<u16, u64>,
-    /// Responses of status 200 within the deadline.
+    /// Number of responses with status 200 within the deadline.
     pub in_time: u64,
-    /// Requests whose connection broke before a complete response, or that timed out.
+    /// Number of requests that timed out, or whose connection broke before a complete response.
     pub lost: u64,
-    /// Responses of status 200 that belong to another request.
+    /// Number of responses with status 200 that belong to another request.
     pub mismatched: u64,
-    /// From the due time to the last byte of a response of status 200, in microseconds.
+    /// Time from the scheduled time of a request to the last byte of a response with status 200, in microseconds.
     pub latency: Histogram<u64>,
-    /// From the due time to the last byte of a rejection (429, 503), in microseconds.
+    /// Time from the scheduled time of a request to the last byte of a rejection (429, 503), in microseconds.
     pub rejection_latency: Histogram<u64>,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Adds the counts of another run; the latencies stay as they are.
+    /// Adds the counts of another run; its latencies are not merged.
     pub fn add_counts(&mut self, other: &LoadStats) {
         self.sent += other.sent;
         self.lost += other.lost;
@@ -79,17 +79,17 @@
         }
     }
 
-    /// The share of requests that were answered with 200 in time, in percent.
+    /// Percentage of requests that were answered with 200 within the deadline.
     pub fn in_time_percent(&self) -> f64 {
         100.0 * self.in_time as f64 / self.sent.max(1) as f64
     }
 
-    /// Responses of any status.
+    /// Number of responses with any status.
     pub fn responses(&self) -> u64 {
         self.statuses.values().sum()
     }
 
-    /// Responses with one of these statuses.
+    /// Number of responses with one of these statuses.
     pub fn with_status(&self, statuses: &[u16]) -> u64 {
         statuses
             .iter()
@@ -97,7 +97,7 @@
             .sum()
     }
 
-    /// The statistics as the figures of a report.
+    /// Formats the statistics as JSON for reports.
     pub fn figures(&self) -> Value {
         let statuses: BTreeMap<String, u64> = self
             .statuses
