--- a/crates/testbed/src/graphql/document.rs
+++ b/crates/testbed/src/graphql/document.rs
@@ -1,17 +1,17 @@
-//! The operations and fragments of a document. Called by `execute`.
+//! Parses a GraphQL document into operations and fragments. Called by `execute`.
 
 use super::error::GraphQlError;
 use apollo_parser::cst::{self, Definition};
 use apollo_parser::Parser;
 use std::collections::HashMap;
 
-/// The deepest nesting that the parser follows.
+/// Maximum nesting depth that the parser accepts.
 const RECURSION_LIMIT: usize = 100;
 
-/// An executable document.
+/// A parsed executable document.
 pub(super) struct Document {
     operations: Vec<cst::OperationDefinition>,
-    /// The selection set of each fragment by its name.
+    /// Selection sets of the fragments by fragment name.
     pub(super) fragments: HashMap<String, cst::SelectionSet>,
 }
 
@@ -43,7 +43,7 @@
         })
     }
 
-    /// The operation with a name; without one, the only operation of the document.
+    /// Returns the operation with this name or, without a name, the only operation of the document.
     pub(super) fn operation(
         &self,
         name: Option<&str>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The name of a fragment, where it is defined or spread.
+/// The name in a fragment definition or a fragment spread.
 pub(super) fn fragment_name(name: Option<cst::FragmentName>) -> Result<String, GraphQlError> {
     name.and_then(|name| name.name())
         .map(|name| name.text().to_string())
--- a/crates/testbed/src/graphql/error.rs
+++ b/crates/testbed/src/graphql/error.rs
@@ -1,6 +1,6 @@
-//! Errors of a GraphQL request. The application answers with their text.
+//! Request errors. Their texts are sent in the `errors` of the response.
 
-/// Why a request can't be executed.
+/// The reason why a request can't be executed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum GraphQlError {
     #[error("no query")]
--- a/crates/testbed/src/graphql/execute.rs
+++ b/crates/testbed/src/graphql/execute.rs
@@ -1,4 +1,4 @@
-//! Executes an operation: its selection sets, fragments and directives. Called for each request of the application.
+//! Executes an operation: selection sets, fragments and directives. Called for each request to the application.
 
 use super::document::{fragment_name, Document};
 use super::error::GraphQlError;
@@ -8,18 +8,18 @@
 use serde_json::{Map, Value};
 use std::collections::HashMap;
 
-/// The one field whose type is not null, and which always fails.
+/// The only non-null field of `Query`; it always fails.
 const BROKEN_FIELD: &str = "broken";
 
 /// The result of an operation.
 pub(super) struct ExecutedData {
     /// The selected fields.
     pub(super) data: Map<String, Value>,
-    /// The response key of a field that must not be null and has failed, so that the data are null.
+    /// Response key of a failed non-null field. If set, `data` in the response is null.
     pub(super) failed_field: Option<String>,
 }
 
-/// Executes a request. The ids of its mutations are added to `effect_ids`, also if a later field fails.
+/// Executes a request. Adds the ids of its mutations to `effect_ids`, even if a later field fails.
 pub(super) fn execute(
     request: &Value,
     effect_ids: &mut Vec<String>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The object whose fields are selected.
+/// The object whose fields are being selected.
 struct Parent<'a> {
     type_name: &'a str,
     value: &'a Value,
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    /// Whether the directives `skip` and `include` allow a selection.
+    /// Whether the directives `skip` and `include` admit a selection.
     fn is_included(&self, directives: Option<cst::Directives>) -> bool {
         directives
             .iter()
@@ -142,7 +142,7 @@
             self.failed_field = Some(key);
             return Ok(());
         }
-        // Fields with the same response key are merged (section 6.3.2): a mutation takes effect once.
+        // Fields with the same response key are merged (section 6.3.2), so a mutation takes effect only once.
         if parent.type_name == MUTATION && data.contains_key(&key) {
             return Ok(());
         }
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// The selected fields of a value, or of each item of a list.
+    /// Selects the fields of an object, or of each item of a list; returns other values unchanged.
     fn complete(
         &mut self,
         selections: Option<cst::SelectionSet>,
--- a/crates/testbed/src/graphql/introspection.rs
+++ b/crates/testbed/src/graphql/introspection.rs
@@ -1,15 +1,15 @@
-//! The schema as introspection describes it (section 4 of the specification). Called by `resolve`.
+//! The introspection schema (section 4 of the specification). Called by `resolve`.
 
 use serde_json::{json, Value};
 
-/// The value of `__schema`.
+/// The value of the field `__schema`.
 pub(super) fn schema() -> Value {
     let directives = [directive("skip"), directive("include")];
     json!({ "__typename": "__Schema", "description": null, "queryType": object("Query"),
         "mutationType": object("Mutation"), "subscriptionType": null, "types": types(), "directives": directives })
 }
 
-/// The value of `__type`: null for an unknown name.
+/// The value of the field `__type`; null for an unknown name.
 pub(super) fn type_named(name: &Value) -> Value {
     types()
         .into_iter()
@@ -69,7 +69,7 @@
     )
 }
 
-// References to types.
+// Type references.
 
 fn string() -> Value {
     reference("SCALAR", "String")
@@ -103,7 +103,7 @@
     json!({ "__typename": "__Type", "kind": kind, "name": null, "ofType": wrapped })
 }
 
-// Definitions.
+// Definitions of types, fields, arguments and directives.
 
 fn object_type(name: &str, fields: &[Value]) -> Value {
     let no_interfaces: [Value; 0] = [];
--- a/crates/testbed/src/graphql/mod.rs
+++ b/crates/testbed/src/graphql/mod.rs
@@ -1,10 +1,10 @@
-//! A GraphQL application with a small schema, to run on the servers of [`crate::pool`]. Demos, measurements, scenarios and
-//! tests start it.
+//! A GraphQL application with a small schema, which runs on the servers of [`crate::pool`]. Used by demos, measurements,
+//! scenarios and tests.
 //!
 //! ```graphql
 //! type Query {
 //!   evaluate(flag: String, user: String): Evaluation  flags: [String]  broken: String!
-//!   user(id: ID!): User  # what the examples of GraphQL over HTTP request
+//!   user(id: ID!): User  # used by the examples in the GraphQL over HTTP specification
 //! }
 //! type User { id: ID  name: String }
 //! type Evaluation { flag: String  on: Boolean  user: String }
@@ -12,19 +12,19 @@
 //! type Change { id: ID  done: Boolean }
 //! ```
 //!
-//! `broken` always fails, so that `data` is null. Introspection (`__schema`, `__type`) is supported. The effect of a
-//! mutation is counted by its `id`. The application follows the specification on its own: it shares the parser with the
-//! node, but no code that reads a document.
+//! `broken` always fails, so that `data` is null. Introspection (`__schema`, `__type`) is supported. Effects of mutations
+//! are counted by `id`. The application implements the specification independently of the node: they share the parser,
+//! but no code that interprets a document.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `request` | a request's parameters from HTTP |
+//! | `request` | request parameters from HTTP |
 //! | `document` | the operations and fragments of a document |
-//! | `variables` | coercion of variables, values of arguments |
-//! | `execute` | selection sets of an operation |
+//! | `variables` | coercion of variables, evaluation of arguments |
+//! | `execute` | execution of an operation |
 //! | `resolve` | the fields of the schema |
-//! | `introspection` | the schema as introspection describes it |
-//! | `error` | errors of a request |
+//! | `introspection` | the introspection schema |
+//! | `error` | request errors |
 //! | `settings` | the settings file of a node in front of such servers |
 
 mod document;
@@ -46,7 +46,7 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-/// The application.
+/// Returns the application, for [`Server::start_with_app`](crate::pool::Server::start_with_app).
 pub fn app() -> App {
     Arc::new(|head: &Parts, body: &[u8]| serve(head, body))
 }
--- a/crates/testbed/src/graphql/request.rs
+++ b/crates/testbed/src/graphql/request.rs
@@ -1,10 +1,10 @@
-//! The parameters of a GraphQL request, from a GET's query or a POST's body. Called for each request of the application.
+//! Request parameters, from the query string of a GET or the body of a POST. Called for each request to the application.
 
 use hyper::http::request::Parts;
 use hyper::Method;
 use serde_json::{Map, Value};
 
-/// The parameters as a JSON object; null if there are none.
+/// Returns the parameters as a JSON object, or null if the body is not valid JSON.
 pub(super) fn parse(head: &Parts, body: &[u8]) -> Value {
     if head.method == Method::GET {
         parse_query_string(head.uri.query().unwrap_or_default())
--- a/crates/testbed/src/graphql/resolve.rs
+++ b/crates/testbed/src/graphql/resolve.rs
@@ -4,12 +4,12 @@
 use super::introspection;
 use serde_json::{json, Map, Value};
 
-/// The root type of queries.
+/// Name of the root type of queries.
 pub(super) const QUERY: &str = "Query";
-/// The root type of mutations.
+/// Name of the root type of mutations.
 pub(super) const MUTATION: &str = "Mutation";
 
-/// The value of a field of an object. The id of a mutation is added to `effect_ids`.
+/// Returns the value of a field of an object. Adds the id of a mutation to `effect_ids`.
 pub(super) fn resolve(
     type_name: &str,
     field: &str,
--- a/crates/testbed/src/graphql/settings.rs
+++ b/crates/testbed/src/graphql/settings.rs
@@ -1,8 +1,9 @@
-//! The settings file of a node in front of GraphQL servers. Called by whoever starts such a node.
+//! The settings file of a node in front of GraphQL servers.
 
 use crate::pool::Pool;
 
-/// The settings file of a node in front of a pool; `service_settings` are more lines of its service.
+/// Formats the settings file of a node in front of a pool. `service_settings` holds additional lines of the `[[service]]`
+/// section.
 pub fn settings(pool: &Pool, service_settings: &str) -> String {
     format!(
         "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n\n[[service]]\nname = \"graphql\"\n{service_settings}\n\n\
--- a/crates/testbed/src/graphql/variables.rs
+++ b/crates/testbed/src/graphql/variables.rs
@@ -1,10 +1,10 @@
-//! Coercion of variables, and the values of arguments. Called by `execute`.
+//! Coercion of variables and evaluation of arguments. Called by `execute`.
 
 use super::error::GraphQlError;
 use apollo_parser::cst;
 use serde_json::{Map, Value};
 
-/// The variables of an operation, with their defaults, if each has its declared type.
+/// Adds the defaults to the variables of an operation; fails if a variable does not have its declared type.
 pub(super) fn coerce_variables(
     operation: &cst::OperationDefinition,
     mut variables: Map<String, Value>,
@@ -31,7 +31,7 @@
     Ok(variables)
 }
 
-/// Whether a value can be coerced to the type of a variable (section 6.1.2), as far as this schema has types.
+/// Whether a value can be coerced to the type of a variable (section 6.1.2). Only types of this schema are supported.
 fn has_type(value: &Value, ty: &cst::Type) -> bool {
     match ty {
         cst::Type::NonNullType(_) if value.is_null() => false,
@@ -70,7 +70,7 @@
     }
 }
 
-/// The arguments of a field.
+/// Evaluates the arguments of a field.
 pub(super) fn evaluate_arguments(
     field: &cst::Field,
     variables: &Map<String, Value>,
@@ -88,7 +88,7 @@
     values
 }
 
-/// The value of a literal or a variable; null for floats, lists and objects, which this schema doesn't have.
+/// Evaluates a literal or a variable. Floats, lists and objects, which this schema doesn't use, evaluate to null.
 pub(super) fn evaluate(value: &cst::Value, variables: &Map<String, Value>) -> Value {
     match value {
         cst::Value::Variable(variable) => variable
