--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,24 +1,24 @@
-//! Stand-ins, load and faults for trying, testing and measuring reelfall on loopback addresses.
+//! Stand-ins, load generation and fault injection for testing and measuring reelfall on loopback addresses.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`pool`] | upstream servers with a fixed capacity, injected faults and a count of effects |
-//! | [`graphql`] | a GraphQL application with a small schema, to run on those servers |
+//! | [`pool`] | upstream servers with a fixed capacity and injected faults, which count the effects of requests |
+//! | [`graphql`] | a GraphQL application with a small schema, which runs on those servers |
 //! | [`discovery`] | the platform's discovery service |
-//! | [`registry`] | a ZooKeeper-like registry |
+//! | [`registry`] | a stand-in for a ZooKeeper ensemble |
 //! | [`membership`] | servers with entries in that registry |
-//! | [`link`] | a network path that delays, freezes, cuts, throttles or half-opens connections |
-//! | [`fleet`] | many nodes that gossip, faults between them, and one history of events |
-//! | [`load`] | open-loop load: requests at random times, independent of responses |
-//! | [`client`] | one HTTP client with pooled connections |
-//! | [`node`] | the program under test, as a process of its own |
-//! | [`relay`] | a round-robin proxy: the baseline for processor time |
+//! | [`link`] | a TCP proxy that delays, freezes, cuts, throttles or half-opens connections |
+//! | [`fleet`] | many nodes that gossip, network faults between them, and a common history of events |
+//! | [`load`] | open-loop load generator: requests at random times, independent of responses |
+//! | [`client`] | an HTTP client with a connection pool |
+//! | [`node`] | the program under test, as a separate process |
+//! | [`relay`] | a round-robin proxy: the baseline for CPU time |
 //! | [`scenario`] | checks of guarantees under load and faults |
 //! | [`demo`] | a node with its stand-ins, for manual use |
-//! | [`measure`] | processor time, latency and memory of a node |
-//! | [`scripted`] | peers whose bytes a test sets one by one, in blocking code |
-//! | [`soak`] | many drawn days, each judged by what clients and servers saw |
-//! | [`ports`] | free ports of the loopback address |
+//! | [`measure`] | CPU time, latency and memory of a node |
+//! | [`scripted`] | peers with blocking sockets, for tests that control every byte |
+//! | [`soak`] | long randomized runs, each checked against the records of clients and servers |
+//! | [`ports`] | port reservations on the loopback address |
 
 pub mod client;
 pub mod demo;
@@ -43,7 +43,7 @@
 pub use random::SeededRng;
 pub use task::{shutdown_signal, spawn, AbortOnDrop};
 
-/// The error of a stand-in itself.
+/// Any error of the test bed.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
-/// The result of a stand-in.
+/// The result of a fallible operation of the test bed.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,6 +1,6 @@
-//! The program under test as a process of its own, with a settings file.
+//! The program under test as a separate process with a settings file.
 //!
-//! Fleets, scenarios, measurements, the demo and tests start nodes.
+//! Used by fleets, scenarios, measurements, the demo and tests.
 
 mod error;
 
@@ -20,24 +20,24 @@
 use tokio::io::{AsyncBufReadExt, BufReader, Lines};
 use tokio::process::{Child, ChildStderr};
 
-/// Longest wait for a node; one that succeeds needs a small part of it.
+/// Timeout of each wait for a node. It is far longer than a successful wait needs.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which a health path is requested again.
+/// Interval between requests to a health path.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Name of the settings file in the folder of a node.
+/// File name of the settings in the folder of a node.
 const SETTINGS_FILE: &str = "services.toml";
 
-/// The program that a node is started with.
+/// The command that starts a node.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments before all others.
+    /// Arguments that precede all others, such as the subcommand `node`.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// The node that is part of the test bed's executable at `path`.
+    /// The node that is built into the test bed's executable at `path`, as its subcommand `node`.
     pub fn in_testbed(path: impl Into<PathBuf>) -> Program {
         Program {
             path: path.into(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// An executable that is a node.
+    /// The node's own executable.
     pub fn standalone(path: impl Into<PathBuf>) -> Program {
         Program {
             path: path.into(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A command that runs the program, without further arguments.
+    /// Builds a command that runs the program without further arguments.
     pub fn command(&self) -> Command {
         let mut command = Command::new(&self.path);
         command.args(&self.args);
@@ -61,13 +61,13 @@
     }
 }
 
-/// A temporary folder, which is deleted when this is dropped.
+/// A temporary folder. Dropping it deletes the folder.
 pub struct Folder {
     path: PathBuf,
 }
 
 impl Folder {
-    /// Creates a folder.
+    /// Creates a folder with a unique name in the system's temporary folder.
     ///
     /// # Errors
     /// Fails if it can't be created.
@@ -92,13 +92,13 @@
     }
 }
 
-/// The process of a node with a settings file of its own. It is killed when this is dropped.
+/// A running node process with its own settings file. Dropping it kills the process.
 pub struct Node {
-    /// Where clients connect, by listener.
+    /// Addresses for clients, by listener name.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// The management address, if there is one.
+    /// Management address, if one is configured.
     pub management: Option<SocketAddr>,
-    /// Where it receives datagrams of other nodes, if it is part of a fleet.
+    /// Address for datagrams from other nodes, if the node is part of a fleet.
     pub fleet: Option<SocketAddr>,
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
@@ -109,7 +109,7 @@
     /// Starts a node and waits until it listens.
     ///
     /// # Errors
-    /// Fails if it does not start; the error has the lines of its log.
+    /// Fails if the node does not start; the error contains its log.
     pub async fn start(program: &Program, settings: &str) -> Result<Node> {
         let folder = Folder::new()?;
         let settings_file = folder.path().join(SETTINGS_FILE);
@@ -123,17 +123,17 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true);
         let mut child = command.spawn()?;
-        let output = child
+        let stdout = child
             .stdout
             .take()
-            .ok_or(NodeError::MissingStream("output"))?;
-        let errors = child
+            .ok_or(NodeError::MissingStream("stdout"))?;
+        let stderr = child
             .stderr
             .take()
-            .ok_or(NodeError::MissingStream("errors"))?;
-        let mut log = BufReader::new(errors).lines();
-        let mut output = BufReader::new(output).lines();
-        let first_line = tokio::time::timeout(WAIT_TIMEOUT, output.next_line()).await??;
+            .ok_or(NodeError::MissingStream("stderr"))?;
+        let mut log = BufReader::new(stderr).lines();
+        let mut stdout = BufReader::new(stdout).lines();
+        let first_line = tokio::time::timeout(WAIT_TIMEOUT, stdout.next_line()).await??;
         let Some(first_line) = first_line else {
             let log = remaining_text(&mut log).await;
             return Err(NodeError::StartupFailed { log }.into());
@@ -168,18 +168,18 @@
         self.child.id().unwrap_or(0)
     }
 
-    /// Waits until a health path responds with 200, or with another status if `is_healthy` is not set.
+    /// Waits until a health path responds with 200 or, if `is_healthy` is `false`, with another status.
     ///
     /// # Errors
-    /// Fails if it does not within [`WAIT_TIMEOUT`].
+    /// Fails if that does not happen within [`WAIT_TIMEOUT`].
     pub async fn wait_for_health(&self, path: &str, is_healthy: bool) -> Result<()> {
         wait_for_health(self.address(), path, is_healthy).await
     }
 
-    /// Replaces the settings file, and asks the node to reload it.
+    /// Replaces the settings file and sends SIGHUP, so that the node reloads it.
     ///
     /// # Errors
-    /// Fails if the file can't be written, or if the process has ended.
+    /// Fails if the file can't be written, or if the process has exited.
     pub fn replace_settings(&self, settings: &str) -> Result<()> {
         let new = self.folder.path().join("services.new");
         std::fs::write(&new, settings)?;
@@ -187,10 +187,10 @@
         self.signal("HUP")
     }
 
-    /// Waits for the next line of the log that contains a text, and returns it.
+    /// Waits for the next log line that contains `text`, and returns the line.
     ///
     /// # Errors
-    /// Fails if there is none within [`WAIT_TIMEOUT`].
+    /// Fails if the log ends first, or if there is no such line within [`WAIT_TIMEOUT`].
     pub async fn wait_for_log(&mut self, text: &str) -> Result<String> {
         let wait = async {
             while let Some(line) = self.log.next_line().await? {
@@ -204,7 +204,7 @@
         tokio::time::timeout(WAIT_TIMEOUT, wait).await?
     }
 
-    /// The next line of the log; `None` at its end.
+    /// Returns the next log line; `None` at the end of the log.
     pub async fn next_log_line(&mut self) -> Option<String> {
         self.log.next_line().await.ok().flatten()
     }
@@ -218,10 +218,10 @@
         self.wait_for_log("is in force").await.map(drop)
     }
 
-    /// Sends a signal, by its name.
+    /// Sends the signal with this name, such as `TERM`.
     ///
     /// # Errors
-    /// Fails if the process has ended.
+    /// Fails if the process has exited.
     pub fn signal(&self, name: &str) -> Result<()> {
         let status = Command::new("kill")
             .args(["-s", name, &self.pid().to_string()])
@@ -229,21 +229,21 @@
         if status.success() {
             Ok(())
         } else {
-            Err(NodeError::Gone.into())
+            Err(NodeError::Exited.into())
         }
     }
 
-    /// Waits for the end of the process; returns whether it was successful.
+    /// Waits for the process to exit; returns whether it succeeded.
     ///
     /// # Errors
-    /// Fails if it does not end within [`WAIT_TIMEOUT`].
+    /// Fails if the process does not exit within [`WAIT_TIMEOUT`].
     pub async fn wait_for_exit(&mut self) -> Result<bool> {
         let status = tokio::time::timeout(WAIT_TIMEOUT, self.child.wait()).await??;
         Ok(status.success())
     }
 }
 
-/// The lines that are left, each with its line break.
+/// Reads the remaining lines; each ends with a line break in the result.
 async fn remaining_text(lines: &mut Lines<BufReader<ChildStderr>>) -> String {
     let mut text = String::new();
     while let Ok(Some(line)) = lines.next_line().await {
@@ -253,7 +253,7 @@
     text
 }
 
-/// The addresses of the listeners in the first line of a node's output.
+/// Parses the listener addresses in the startup line, which is the first line on a node's stdout.
 fn listener_addresses(startup: &Value) -> Result<BTreeMap<String, SocketAddr>> {
     let listeners = startup
         .get("listening")
@@ -271,10 +271,10 @@
     startup.get(name)?.as_str()?.parse().ok()
 }
 
-/// Waits until a health path of a node responds with 200, or with another status if `is_healthy` is not set.
+/// Waits until a health path of a node responds with 200 or, if `is_healthy` is `false`, with another status.
 ///
 /// # Errors
-/// Fails if it does not within [`WAIT_TIMEOUT`].
+/// Fails if that does not happen within [`WAIT_TIMEOUT`].
 pub async fn wait_for_health(node: SocketAddr, path: &str, is_healthy: bool) -> Result<()> {
     let client = crate::client::Client::new(node);
     let started = Instant::now();
@@ -294,21 +294,21 @@
     }
 }
 
-/// Processor time that a process has used, in seconds.
+/// CPU time that a process has used, in seconds.
 ///
 /// # Errors
-/// Fails if the process has ended.
+/// Fails if the process has exited.
 pub fn cpu_seconds(pid: u32) -> Result<f64> {
-    // By the clock of its processor time, as `/proc` has a resolution of a hundredth of a second.
+    // Read from the CPU-time clock of the process, because `/proc` has a resolution of only 10 ms.
     let pid = nix::unistd::Pid::from_raw(i32::try_from(pid)?);
     let used = nix::time::clock_getcpuclockid(pid)?.now()?;
     Ok(Duration::from(used).as_secs_f64())
 }
 
-/// Resident memory of a process, in KiB.
+/// Resident set size of a process, in KiB.
 ///
 /// # Errors
-/// Fails if the process has ended.
+/// Fails if the process has exited.
 pub fn memory_kib(pid: u32) -> Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status
--- a/crates/testbed/src/node/error.rs
+++ b/crates/testbed/src/node/error.rs
@@ -1,41 +1,41 @@
-//! Why a node does not do what a test expects.
+//! Errors of a node process under test.
 
-/// An error of a node's process, or of what it prints.
+/// The node process failed, or its output is not as expected.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// A stream of the process is not piped.
-    #[error("no {0}")]
+    /// A standard stream of the process, named by the field, is not piped.
+    #[error("{0} of the node is not piped")]
     MissingStream(&'static str),
-    /// The process ended before it listened.
-    #[error("{log}")]
+    /// The process exited before it listened.
+    #[error("the node exited before it listened; its log:\n{log}")]
     StartupFailed {
-        /// The lines of its log.
+        /// Log lines of the process.
         log: String,
     },
-    /// The first line of its output lacks the addresses of its listeners.
-    #[error("no listeners")]
+    /// The first line on stdout has no listener addresses.
+    #[error("the node's startup line has no object `listening`")]
     MissingListeners,
-    /// A listener's address in that line is no text.
-    #[error("no address")]
+    /// A listener address in the first line on stdout is not a string.
+    #[error("a listener address in the node's startup line is not a string")]
     InvalidAddress,
-    /// The process ended before it logged the text that was awaited.
-    #[error("the node ended without saying `{text}`")]
+    /// The log ended before a line with the expected text.
+    #[error("the node's log ended without a line that contains `{text}`")]
     LogEnded {
-        /// The text.
+        /// The expected text.
         text: String,
     },
-    /// The process has ended.
-    #[error("the node is gone")]
-    Gone,
-    /// A health path did not respond as expected in time.
-    #[error("{path} does not become {is_healthy}")]
+    /// A signal can't be sent because the process has exited.
+    #[error("the node process has exited")]
+    Exited,
+    /// A health path did not respond as expected before the timeout.
+    #[error("timed out waiting for {path}: expected healthy = {is_healthy}")]
     HealthTimeout {
-        /// The path.
+        /// The health path that was requested.
         path: String,
         /// Whether status 200 was expected.
         is_healthy: bool,
     },
-    /// The system does not tell the resident memory of the process.
-    #[error("no VmRSS")]
+    /// `/proc` does not show the resident memory of the process.
+    #[error("/proc/<pid>/status has no line VmRSS")]
     MissingMemory,
 }
--- a/crates/testbed/src/ports.rs
+++ b/crates/testbed/src/ports.rs
@@ -1,25 +1,25 @@
-//! Reserved ports on loopback, for programs whose address has to be known before they listen.
+//! Port reservations on loopback, for programs whose address must be known before they listen.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// First port that is reserved. All are below the ephemeral ports of Linux (`net.ipv4.ip_local_port_range` begins at 32768),
-/// so that no listener on port 0 and no outgoing connection gets one of them.
+/// First port of the reserved range. The range is below the ephemeral ports of Linux (`net.ipv4.ip_local_port_range` starts
+/// at 32768), so that no listener on port 0 and no outgoing connection is assigned one of these ports.
 const FIRST_PORT: u16 = 20_000;
-/// Number of ports that are reserved.
+/// Number of ports in the reserved range.
 const PORT_COUNT: u16 = 12_000;
-/// The address at which a reservation binds its port, while the program listens at 127.0.0.1 or has not started yet.
+/// Address on which a reservation binds its port, so that the program itself can bind it on 127.0.0.1.
 const RESERVATION_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 82, 70, 1);
 
-/// Reservations tried so far in this process.
+/// Number of ports that this process has tried to reserve.
 static ATTEMPTS: AtomicU32 = AtomicU32::new(0);
 
-/// A port of 127.0.0.1 that no other process of the test bed reserves until this is dropped.
+/// A port of 127.0.0.1 that no other process of the test bed can reserve until this is dropped.
 ///
-/// Two tests never use the same port: the system assigns a port that was free a moment ago again about once in 14,000 times,
-/// and the program that was to listen there would fail. The port is reserved by a socket at another address of loopback, so
-/// that the program can bind it; the reservation ends with its process, however that ends.
+/// Without a reservation, the system assigns a port that has just been free to another socket about once in 14,000 times,
+/// and the program that was to listen on it fails. The port is reserved by a socket on another loopback address, so that
+/// the program can bind it. The system ends the reservation when the process exits, even after a crash.
 #[derive(Debug)]
 pub struct Port {
     number: u16,
@@ -30,9 +30,9 @@
     /// Reserves a port.
     ///
     /// # Errors
-    /// Fails if none of the ports is free.
+    /// Fails if no port of the range is free.
     pub fn reserve() -> io::Result<Port> {
-        // Processes start at different ports, so that they seldom try the same.
+        // Processes start at different offsets, so that they rarely try the same port.
         let offset = std::process::id().wrapping_mul(31);
         for _ in 0..PORT_COUNT {
             let step = offset.wrapping_add(ATTEMPTS.fetch_add(1, Ordering::Relaxed));
@@ -49,7 +49,7 @@
         Err(io::Error::from(io::ErrorKind::AddrInUse))
     }
 
-    /// Where the program is to listen.
+    /// Address on which the program has to listen.
     pub fn address(&self) -> SocketAddr {
         (Ipv4Addr::LOCALHOST, self.number).into()
     }
--- a/crates/testbed/src/ports/tests.rs
+++ b/crates/testbed/src/ports/tests.rs
@@ -1,17 +1,17 @@
-//! Reserved ports.
+//! Port reservations keep other listeners away, but not the program that the port is reserved for.
 
 use super::*;
 
 #[test]
-fn a_port_that_is_held_is_free_for_its_program_and_given_to_nobody_else() {
+fn reserved_port_is_free_for_its_program_and_not_assigned_again() {
     let first = Port::reserve().unwrap();
     let _program = TcpListener::bind(first.address()).unwrap();
     ATTEMPTS.fetch_sub(1, Ordering::Relaxed);
     let others: Vec<Port> = (0..50).map(|_| Port::reserve().unwrap()).collect();
     assert!(others.iter().all(|port| port.address() != first.address()));
-    // Held also while its program is not there: the system refuses the holder's address.
+    // The port stays reserved while its program is not running: the reservation address can't be bound again.
     assert!(TcpListener::bind((RESERVATION_ADDRESS, others[0].number)).is_err());
-    // And whoever asks for any never gets one of these.
+    // A listener on port 0 never gets a port of the reserved range.
     for _ in 0..50 {
         let any = TcpListener::bind("127.0.0.1:0")
             .unwrap()
--- a/crates/testbed/src/task.rs
+++ b/crates/testbed/src/task.rs
@@ -1,10 +1,10 @@
-//! Tasks of stand-ins, which end with their owner, and the signal that ends a program. Used by all stand-ins and commands.
+//! Background tasks that end with their owner, and the shutdown signal of a process. Used by all stand-ins and commands.
 
 use std::future::Future;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::AbortHandle;
 
-/// Aborts a task when it is dropped.
+/// A handle that aborts its task when dropped.
 #[derive(Debug)]
 pub struct AbortOnDrop(pub AbortHandle);
 
