--- a/crates/testbed/tests/membership/access.rs
+++ b/crates/testbed/tests/membership/access.rs
@@ -1,4 +1,4 @@
-//! Access lists: which entries are trusted, and how the node protects its own.
+//! Access lists: which entries are trusted, and how the node protects its own entry.
 
 use super::support::{count_successes, start_node, start_server, wait_until};
 use reelfall_testbed::client::Client;
@@ -6,11 +6,11 @@
 use reelfall_testbed::pool::Server;
 use reelfall_testbed::registry::{digest_id, AccessRule, Registry};
 
-/// All permissions, as bits.
+/// Bit mask of all permissions.
 const ALL: i32 = 31;
-/// The permission to read, as bits.
+/// Bit mask of the read permission.
 const READ: i32 = 1;
-/// Name and password of the owner of trusted entries.
+/// Credentials of the owner of trusted entries, as `name:password`.
 const CREDENTIALS: &str = "ops:secret";
 /// Path of the node's entry.
 const ENTRY_PATH: &str = "/nodes/n1";
@@ -51,12 +51,12 @@
     assert_eq!(
         untrusted.requests_received(),
         0,
-        "requests to the server of an untrusted entry"
+        "requests were sent to the server of an untrusted entry"
     );
     node.wait_for_log("an identity other than the configured owner may change the entry")
         .await
         .unwrap();
-    wait_until("its entry", async || registry.entry(ENTRY_PATH).is_some()).await;
+    wait_until("the entry", async || registry.entry(ENTRY_PATH).is_some()).await;
     let acl = registry.acl(ENTRY_PATH);
     assert!(acl.contains(&owner_rule) && acl.contains(&read_rule));
     assert_eq!(acl.len(), 2, "{acl:?}");
--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of servers: invalid ones, and thousands that change.
+//! Server entries: invalid ones, and thousands that change.
 
 use super::support::{count_successes, start_node, start_server, wait_until, wait_until_requested};
 use reelfall_testbed::client::Client;
@@ -6,17 +6,17 @@
 use reelfall_testbed::registry::Registry;
 use std::time::{Duration, Instant};
 
-/// Length of data that a request may have, and an entry of a server may not.
+/// Length of data that the registry accepts in a request, but the node rejects in a server entry.
 const TOO_LONG_DATA_LEN: usize = (1 << 20) - 1000;
-/// Delay of responses and watch events of a slow member.
+/// Delay of responses and watch events from a slow member.
 const RESPONSE_DELAY: Duration = Duration::from_millis(500);
-/// How often the node is stopped at most, until that is before a slow member's responses.
+/// Maximum number of attempts to stop the node before the responses of a slow member arrive.
 const MAX_STOP_ATTEMPTS: usize = 5;
-/// Entries of servers that do not exist.
+/// Number of entries of servers that do not exist.
 const ENTRY_COUNT: usize = 2_000;
-/// Changed entries.
+/// Number of entries that are changed.
 const CHANGE_COUNT: usize = 1_000;
-/// Addresses in a network of entries.
+/// Number of addresses that are used in each `/24` network.
 const ADDRESSES_PER_NETWORK: usize = 250;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -30,8 +30,8 @@
     put("same-address", &entry_data(&good.address.to_string(), 0));
     registry.put(&format!("{SERVERS_PATH}/good/deeper"), b"{}", 0);
     let mut node = start_node(&registry, "", "").await;
-    // Both services log each of them. They are created one after another, since a node writes at most five lines a
-    // second.
+    // Each service logs each invalid entry. The entries are created one after another, because the node logs at most five
+    // lines per second.
     registry.put(
         &format!("{SERVERS_PATH}/by-hand"),
         &entry_data("127.0.0.1:9", 0),
@@ -39,15 +39,15 @@
     );
     node.wait_for_log("by-hand: the entry is not ephemeral")
         .await
-        .expect("a line");
+        .expect("the invalid entry is logged");
     put("long", &vec![b'x'; TOO_LONG_DATA_LEN]);
     node.wait_for_log("long: the data is")
         .await
-        .expect("a line");
+        .expect("the invalid entry is logged");
     put("no-json", b"\x00\xff\xfe");
     node.wait_for_log("no-json: the data is not a valid JSON object")
         .await
-        .expect("a line");
+        .expect("the invalid entry is logged");
     put("no-address", b"{}");
     put("odd name \u{1f600} \" ' %2f", b"[]");
     let client = Client::new(node.address());
@@ -55,19 +55,20 @@
     assert_eq!(
         good.requests_received(),
         100,
-        "requests to the server of another entry"
+        "requests were sent to the server of another entry"
     );
-    // The later of two entries with one address was in force; with it removed, the earlier one is again.
+    // Of two entries with the same address, the later one takes precedence. Once it is removed, the earlier one applies
+    // again.
     registry.remove(&format!("{SERVERS_PATH}/same-address"));
     let removed_at = Instant::now();
-    wait_until("the earlier entry", async || {
+    wait_until("requests by the earlier entry", async || {
         let run = format!("earlier-{:?}", removed_at.elapsed());
         count_successes(&client, &run, 10).await == 10
     })
     .await;
 }
 
-/// Creates or changes entries of servers that do not exist. They drain, so that no requests are sent to them.
+/// Creates or changes entries of servers that do not exist. Their state is draining, so that no requests are sent to them.
 fn put_draining_entries(registry: &Registry, session: i64, network: &str, count: usize) {
     for index in 0..count {
         let subnet = index / ADDRESSES_PER_NETWORK;
@@ -89,14 +90,15 @@
     let node = start_node(&registry, "", "").await;
     let client = Client::new(node.address());
     assert_eq!(count_successes(&client, "many", 50).await, 50);
-    // A burst of changes, with a server that exists at its end.
+    // A burst of changes, followed by the entry of a server that exists.
     put_draining_entries(&registry, session, "127.9", CHANGE_COUNT);
     let _registration_of_last = RegisteredServer::register(&registry, &last, "last", 0);
     wait_until_requested(&client, &last, "last").await;
     assert_eq!(count_successes(&client, "churned", 50).await, 50);
 }
 
-/// The node reads the data of an entry and the event of its removal at once, and applies both in one update.
+/// Guards against using a server whose entry has been removed: the node receives the data of the entry together with the
+/// event of its removal, and applies both in one update.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn entry_removed_in_update_that_lists_it_is_not_used() {
     let registry = Registry::start(1).await.unwrap();
@@ -111,34 +113,39 @@
         let name = format!("brief-{attempt}");
         let requests_before = registry.counters().requests;
         let registration = RegisteredServer::register(&registry, &brief, &name, 0);
-        wait_until("the reads of its entry by both services", async || {
+        wait_until("the reads of the entry by both services", async || {
             registry.counters().requests >= requests_before + 2
         })
         .await;
-        // The responses to the reads, and the events after them, wait in the sockets of the node.
+        // While the node is stopped, the responses to the reads and the later events wait in its socket buffers.
         node.signal("STOP").unwrap();
         let counters = registry.counters();
         if counters.bytes_written < counters.bytes_sent {
             pending_registration = Some(registration);
             break;
         }
-        // The test was too slow: the node may have read the responses.
+        // Stopped too late: the node may have read the responses already.
         node.signal("CONT").unwrap();
         registration.expire_session(&registry);
     }
-    let registration = pending_registration.expect("a node that stops before the responses");
+    let registration =
+        pending_registration.expect("the node is stopped before the responses arrive");
     let events_before = registry.counters().watch_events;
     registration.expire_session(&registry);
-    wait_until("the events of both services in the sockets", async || {
-        let counters = registry.counters();
-        counters.watch_events >= events_before + 2 && counters.bytes_written == counters.bytes_sent
-    })
+    wait_until(
+        "the events for both services in the socket buffers",
+        async || {
+            let counters = registry.counters();
+            counters.watch_events >= events_before + 2
+                && counters.bytes_written == counters.bytes_sent
+        },
+    )
     .await;
     node.signal("CONT").unwrap();
     assert_eq!(count_successes(&client, "after", 200).await, 200);
     assert_eq!(
         brief.requests_received(),
         0,
-        "requests to a server whose entry has gone"
+        "requests were sent to a server whose entry has been removed"
     );
 }
--- a/crates/testbed/tests/membership/flapping.rs
+++ b/crates/testbed/tests/membership/flapping.rs
@@ -1,4 +1,4 @@
-//! A server whose entry comes and goes: removals are immediate, and returns are delayed with backoff.
+//! A flapping server entry: removals take effect immediately, and readmission is delayed with exponential backoff.
 
 use super::support::{
     count_successes, request, start_node, start_server, wait_until, wait_until_requested,
@@ -13,18 +13,18 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// How often the entry goes and returns.
+/// Number of times that the entry is removed and created again.
 const RETURN_COUNT: usize = 30;
-/// Requests after each return. A server that was readmitted would hardly receive none of them.
+/// Number of requests after each return. A readmitted server is very unlikely to receive none of them.
 const REQUESTS_PER_RETURN: usize = 10;
-/// Services of the node, each with a session of its own, which reads the entry.
+/// Number of services of the node. Each has its own session and reads the entry.
 const SERVICE_COUNT: u64 = 2;
-/// Delay of the second return, in seconds. Each further one is delayed twice as long, up to the maximum.
+/// Readmission delay of the second return, in seconds. It doubles with each further return, up to the maximum.
 const INITIAL_DELAY_SECONDS: f64 = 1.0;
-/// Maximum delay of a return, in seconds.
+/// Maximum readmission delay, in seconds.
 const MAX_DELAY_SECONDS: f64 = 30.0;
 
-/// How many returns may be admitted in a time that begins before the first removal: one at once, then one after each
+/// Maximum number of readmissions within a time that starts before the first removal: one immediately, then one after each
 /// delay.
 fn max_admitted_returns(elapsed: Duration) -> usize {
     let mut admitted = 1;
@@ -38,7 +38,7 @@
     admitted
 }
 
-/// A server that flaps beside a steady one, and the node that follows both.
+/// A server with a flapping entry, and the node that also uses a steady server.
 struct FlappingServer {
     client: Client,
     node: Node,
@@ -55,18 +55,18 @@
         wait_until(what, async || self.server.open_connections() == 0).await;
     }
 
-    /// Sends requests until one waits at the frozen server.
+    /// Sends requests until one has reached the frozen server and waits there.
     async fn start_requests(&self) -> JoinSet<StatusCode> {
         let mut requests = JoinSet::new();
         let address = self.node.address();
         let received_before = self.server.requests_received();
-        wait_until("a request in flight", async || {
+        wait_until("a request in flight at the frozen server", async || {
             let correlation_id = format!("in-flight-{}", requests.len());
             requests.spawn(async move {
                 Client::new(address)
                     .send(request("GET", "evaluate", &correlation_id))
                     .await
-                    .expect("an answer")
+                    .expect("the node responds")
                     .status
             });
             self.server.requests_received() > received_before
@@ -75,7 +75,8 @@
         requests
     }
 
-    /// Expires the session while requests are in flight, which succeed nevertheless. Returns the time of the expiry.
+    /// Expires the session while requests are in flight, and checks that they still succeed. Returns the time of the
+    /// expiry.
     async fn expire_with_requests_in_flight(&self, registration: &RegisteredServer) -> Instant {
         self.server
             .update_behavior(|behavior| behavior.is_frozen = true);
@@ -83,27 +84,27 @@
         let expired_at = Instant::now();
         registration.expire_session(&self.registry);
         while let Some(status) = requests.join_next().await {
-            assert_eq!(status.unwrap(), 200, "a request in flight");
+            assert_eq!(status.unwrap(), 200, "a request in flight failed");
         }
         self.server
             .update_behavior(|behavior| behavior.is_frozen = false);
         expired_at
     }
 
-    /// Registers the server again, and waits until both services read its entry. They have received its last removal
-    /// before.
+    /// Registers the server again and waits until both services read its entry. By then they have received its previous
+    /// removal.
     async fn register_and_wait_until_read(&self) -> RegisteredServer {
         let registry = &self.registry;
         let requests_before = registry.counters().requests;
         let registration = self.register();
-        wait_until("the read of its entry", async || {
+        wait_until("the reads of the entry", async || {
             registry.counters().requests >= requests_before + SERVICE_COUNT
         })
         .await;
         registration
     }
 
-    /// Lets the entry return and go once. Returns whether the server received requests meanwhile.
+    /// Creates the entry again and removes it. Returns whether the server received requests in between.
     async fn return_once(&self, index: usize) -> bool {
         let received_before = self.server.requests_received();
         let registration = self.register_and_wait_until_read().await;
@@ -117,8 +118,9 @@
         );
         let is_admitted = self.server.requests_received() > received_before;
         registration.expire_session(&self.registry);
-        // A node that has received the removal closes idle connections. Without a connection nothing shows it.
-        self.wait_until_disconnected("the end of its connections")
+        // A node that has received the removal closes idle connections. If there is no connection, the removal can't be
+        // observed.
+        self.wait_until_disconnected("the end of the server's connections")
             .await;
         if is_admitted {
             let received_before = self.server.requests_received();
@@ -130,7 +132,7 @@
             assert_eq!(
                 self.server.requests_received(),
                 received_before,
-                "requests to a server whose entry has gone"
+                "requests were sent to a server whose entry has been removed"
             );
         }
         is_admitted
@@ -155,7 +157,7 @@
     wait_until_requested(&flapping.client, &flapping.server, "before").await;
     let expired_at = flapping.expire_with_requests_in_flight(&registration).await;
     flapping
-        .wait_until_disconnected("the first end of its connections")
+        .wait_until_disconnected("the first end of the server's connections")
         .await;
     let mut admitted = 0;
     for index in 0..RETURN_COUNT {
@@ -164,12 +166,12 @@
     let max_admitted = max_admitted_returns(expired_at.elapsed());
     assert!(
         admitted <= max_admitted,
-        "{admitted} of {RETURN_COUNT} returns were admitted, {max_admitted} may be"
+        "{admitted} of {RETURN_COUNT} returns were readmitted, expected at most {max_admitted}"
     );
-    // An entry that stays is used in the end: the delay is about as long as the test so far.
+    // An entry that stays is readmitted eventually. The delay is about as long as the test has run so far.
     let _last_registration = flapping.register();
     let timeout = Duration::from_secs_f64(2.0 * MAX_DELAY_SECONDS);
-    wait_until_within(timeout, "its return", async || {
+    wait_until_within(timeout, "the readmission of the server", async || {
         let received_before = flapping.server.requests_received();
         let run = format!("last-{received_before}-{}", steady.requests_received());
         count_successes(&flapping.client, &run, REQUESTS_PER_RETURN).await;
--- a/crates/testbed/tests/membership/main.rs
+++ b/crates/testbed/tests/membership/main.rs
@@ -1,15 +1,15 @@
-//! A node that follows the ephemeral entries of servers in a registry, over loopback sockets.
+//! A node that takes its servers from ephemeral entries in a registry, over loopback sockets.
 //!
 //! | module | what it tests |
 //! | --- | --- |
-//! | `sessions` | sessions of servers that expire |
-//! | `flapping` | a server whose entry comes and goes |
-//! | `outages` | a registry that is silent, down, late or behind |
+//! | `sessions` | expiry of the sessions of servers |
+//! | `flapping` | a server with a flapping entry |
+//! | `outages` | a registry that is silent, down, slow or lagging |
 //! | `entries` | invalid entries, and many entries |
 //! | `protocol` | a registry that violates the protocol |
 //! | `access` | access lists and credentials |
 //! | `own_entry` | the entry of the node itself |
-//! | `support` | what these tests share |
+//! | `support` | common helpers |
 
 mod access;
 mod entries;
--- a/crates/testbed/tests/membership/outages.rs
+++ b/crates/testbed/tests/membership/outages.rs
@@ -1,4 +1,4 @@
-//! A registry that is silent, down, late or behind: known servers are used, and removed ones never return.
+//! A registry that is silent, down, slow or lagging: known servers stay in use, and removed servers never return.
 
 use super::support::{
     count_successes, program, start_node, start_server, wait_until, wait_until_requested,
@@ -12,13 +12,13 @@
 use reelfall_testbed::registry::Registry;
 use std::time::{Duration, Instant};
 
-/// Members of a registry that has a majority without one of them.
+/// Number of members of a registry that keeps a majority if one of them fails.
 const MEMBER_COUNT: usize = 3;
-/// The node follows the registry with one session for each of its services.
+/// Number of registry sessions of the node: one for each of its services.
 const SESSION_COUNT: usize = 2;
-/// More watch events than a test causes.
+/// A number of watch events that is higher than any test causes.
 const ALL_WATCH_EVENTS: u64 = 1000;
-/// Replication lag of a member that has not applied a removal.
+/// Replication lag of a member, long enough that it has not applied a removal yet.
 const REPLICATION_LAG: Duration = Duration::from_millis(1500);
 /// How long requests are sent while the node is connected to a lagging member.
 const LAG_LOAD_DURATION: Duration = Duration::from_millis(800);
@@ -45,18 +45,18 @@
     let mut node = start_node(&registry, "", registry_lines).await;
     let client = Client::new(node.address());
     wait_until_requested(&client, &two, "before").await;
-    // Members accept connections and never respond; the sessions of the node expire meanwhile.
+    // The members accept connections but never respond, and the sessions of the node expire.
     set_all_frozen(&registry, true);
     registration_of_two.expire_session(&registry);
     let expired_before = registry.counters().expired_sessions;
-    wait_until("the end of the node's sessions", async || {
+    wait_until("the expiry of the node's sessions", async || {
         registry.counters().expired_sessions >= expired_before + SESSION_COUNT as u64
     })
     .await;
     assert_eq!(count_successes(&client, "silent", 100).await, 100);
     wait_until_requested(&client, &one, "silent-one").await;
     wait_until_requested(&client, &two, "silent-two").await;
-    // What happened during the outage is in force as soon as the registry responds again.
+    // Changes during the outage take effect as soon as the registry responds again.
     set_all_frozen(&registry, false);
     wait_until("the removal", async || two.open_connections() == 0).await;
     let received_before = two.requests_received();
@@ -98,9 +98,9 @@
     wait_until_requested(&client, &one, "fresh").await;
 }
 
-/// Two mechanisms keep an older list from being used, each of which suffices: the state that was seen, which the client
-/// sends when it connects and compares with each response, and the sync before the list. Without both, this test fails;
-/// the tests of sessions cover the first.
+/// Guards against the use of an outdated list. Two mechanisms prevent it, and each of them suffices: the client sends the
+/// last transaction that it has seen when it connects and compares it with each response, and it syncs before it reads the
+/// list. This test fails only without both; the tests of sessions cover the first one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn lagging_member_never_restores_removed_server() {
     let registry = Registry::start(2).await.unwrap();
@@ -111,7 +111,7 @@
     let node = start_node(&registry, "", registry_lines).await;
     let client = Client::new(node.address());
     wait_until_requested(&client, &two, "before").await;
-    // One member applies the removal at once, the other one nothing more for a while; then the first one goes down.
+    // One member applies the removal immediately while the other one lags; then the first one goes down.
     for (current, lagging) in [(0, 1), (1, 0)] {
         connect_to_current_member(&registry, current, lagging).await;
         registry.set_replication_lag(lagging, REPLICATION_LAG);
@@ -120,9 +120,9 @@
         } else {
             registry.put("/elsewhere", b"", 0);
         }
-        // A node that has received the removal closes idle connections. That no requests are sent could be chance, since
-        // the server receives only a small fraction.
-        wait_until("the removal, from the current member", async || {
+        // A node that has received the removal closes idle connections. The absence of requests would prove nothing, since
+        // the server receives only a small fraction of them.
+        wait_until("the removal reported by the current member", async || {
             two.open_connections() == 0
         })
         .await;
@@ -136,15 +136,15 @@
         assert_eq!(
             two.requests_received(),
             received_before,
-            "an older list is used"
+            "the node used an outdated list"
         );
         registry.set_replication_lag(lagging, Duration::ZERO);
         registry.set_member_down(current, false);
     }
 }
 
-/// Has the node connect to the member that will be current. If it were at the lagging one from the beginning, it could not
-/// know of the removal.
+/// Makes the node connect to the member that will be current. A node that is connected to the lagging member can't learn of
+/// the removal.
 async fn connect_to_current_member(registry: &Registry, current: usize, lagging: usize) {
     registry.set_member_down(lagging, true);
     wait_until("both sessions at the current member", async || {
@@ -175,7 +175,7 @@
     wait_until_requested(&client, &two, "lost-event").await;
     registry.drop_watch_events(ALL_WATCH_EVENTS);
     registration.expire_session(&registry);
-    wait_until("the removal that no watch event reports", async || {
+    wait_until("the removal without a watch event", async || {
         one.open_connections() == 0
     })
     .await;
@@ -203,7 +203,7 @@
     assert_eq!(
         known.requests_received(),
         received_before,
-        "requests to a server that the registry does not list"
+        "requests were sent to a server that the registry does not list"
     );
 }
 
--- a/crates/testbed/tests/membership/protocol.rs
+++ b/crates/testbed/tests/membership/protocol.rs
@@ -1,4 +1,4 @@
-//! A registry whose responses violate the protocol: the connection is closed, and no server is removed.
+//! A registry whose responses violate the protocol: the node closes the connection, and removes no server.
 
 use super::support::{count_successes, start_node_with, start_server};
 use reelfall_testbed::client::Client;
@@ -7,19 +7,19 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Length of the request that opens a session, with the length of its frame.
+/// Length of the connect request in bytes, including the length prefix of its frame.
 const CONNECT_REQUEST_LEN: usize = 49;
-/// Length of the response that opens a session, without the length of its frame.
+/// Length of the connect response in bytes, without the length prefix of its frame.
 const CONNECT_RESPONSE_LEN: u32 = 37;
 const PROTOCOL_VERSION: u32 = 0;
 const SESSION_TIMEOUT_MS: u32 = 4000;
 const SESSION_ID: u64 = 77;
-/// Length of the password of a session.
+/// Length of a session password, in bytes.
 const PASSWORD_LEN: u32 = 16;
-/// The password, and the flag of a read-only member.
+/// The session password, followed by the flag for a read-only member.
 const PASSWORD_AND_FLAG: [u8; 17] = [1; 17];
 
-/// The frame that opens a session.
+/// Builds the frame of a connect response, which opens a session.
 fn connect_response() -> Vec<u8> {
     let mut response = CONNECT_RESPONSE_LEN.to_be_bytes().to_vec();
     response.extend_from_slice(&PROTOCOL_VERSION.to_be_bytes());
@@ -39,12 +39,13 @@
     let mut response = connect_response();
     response.extend_from_slice(violation);
     let _ = stream.write_all(&response);
-    // The first read returns the requests that the client has sent before it closes the connection.
+    // The first read returns the requests that the client sent before it detected the violation; the second one waits for
+    // the end of the connection.
     let _ = stream.read(&mut [0; 512]);
     let _ = stream.read(&mut [0; 512]);
 }
 
-/// Starts a member that opens each session correctly and then sends invalid bytes.
+/// Starts a member that responds to each connect request correctly and then sends invalid bytes.
 fn start_violating_member(violation: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -77,7 +78,7 @@
     let mut node = start_node_with(&settings.replace("members = [", &members)).await;
     let client = Client::new(node.address());
     assert_eq!(count_successes(&client, "valid", 100).await, 100);
-    // Whichever member the node connects to next, its servers stay.
+    // The node keeps its servers, whichever member it connects to next.
     registry.set_member_down(0, true);
     node.wait_for_log("registry /flags/evaluate: ")
         .await
--- a/crates/testbed/tests/membership/support.rs
+++ b/crates/testbed/tests/membership/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: servers, nodes, requests, and waits for what a server is sent.
+//! Common helpers: servers, nodes, requests, and waits for conditions.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,13 +13,13 @@
 
 /// Service time of a healthy server.
 const SERVICE_TIME: Duration = Duration::from_millis(1);
-/// Number of requests that a server processes at once.
+/// Number of requests that a server processes concurrently.
 const WORKERS: usize = 64;
-/// Seed of the random numbers of a server.
+/// Seed of the random number generator of a server.
 const SERVER_SEED: u64 = 1;
-/// Time limit of a wait.
+/// Default timeout of a wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which a wait checks its condition.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The program under test.
@@ -35,7 +35,7 @@
         .unwrap()
 }
 
-/// Starts a node, and waits until all its services are healthy.
+/// Starts a node with the settings of [`node_settings`], and waits until all its services are healthy.
 pub(crate) async fn start_node(
     registry: &Registry,
     service_options: &str,
@@ -52,7 +52,7 @@
     node
 }
 
-/// A request of a service: `GET` without a body, or another method with an empty object.
+/// Builds a request to a service: `GET` without a body, or another method with an empty JSON object.
 pub(crate) fn request(method: &str, service: &str, correlation_id: &str) -> Request<Full<Bytes>> {
     let body = if method == "GET" {
         Bytes::new()
@@ -76,18 +76,18 @@
         let response = client
             .send(request("GET", "evaluate", &format!("{run}-{index}")))
             .await
-            .expect("an answer");
+            .expect("the node responds");
         successes += usize::from(response.status == 200);
     }
     successes
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds. `what` names it in the message of a timeout.
 pub(crate) async fn wait_until(what: &str, condition: impl AsyncFnMut() -> bool) {
     wait_until_within(WAIT_TIMEOUT, what, condition).await;
 }
 
-/// Waits until a condition holds, with a time limit.
+/// Waits until a condition holds, with the given timeout.
 pub(crate) async fn wait_until_within(
     timeout: Duration,
     what: &str,
@@ -95,12 +95,15 @@
 ) {
     let started_at = Instant::now();
     while !condition().await {
-        assert!(started_at.elapsed() < timeout, "{what} does not come");
+        assert!(
+            started_at.elapsed() < timeout,
+            "timed out waiting for {what}"
+        );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Sends requests until a server receives nine of ten.
+/// Sends requests in batches until a server receives at least 90% of a batch.
 pub(crate) async fn wait_until_preferred(client: &Client, server: &Server, run: &str) {
     const BATCH_LEN: usize = 50;
     let mut batch = 0;
@@ -113,7 +116,7 @@
     .await;
 }
 
-/// Sends requests until a server receives one.
+/// Sends requests until a server receives at least one.
 pub(crate) async fn wait_until_requested(client: &Client, server: &Server, run: &str) {
     const BATCH_LEN: usize = 3;
     let received_before = server.requests_received();
--- a/crates/testbed/tests/stand_ins.rs
+++ b/crates/testbed/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the testbed: tests that use them are valid only if each behaves as documented.
+//! Tests of the stand-ins themselves: other tests are valid only if these behave as documented.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -31,7 +31,8 @@
         .unwrap()
 }
 
-/// Guards against requests that cross the end of an idle connection, which the node closes after 5 s.
+/// The node closes idle connections after 5 s. A client that reuses an older connection can lose a request that is sent
+/// while the node closes the connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn client_reuses_no_connection_that_was_idle_for_four_seconds() {
     const MAX_REUSED_IDLE: Duration = Duration::from_secs(4);
@@ -51,7 +52,11 @@
     assert_eq!(connections.load(Ordering::SeqCst), 1);
     tokio::time::sleep(MAX_REUSED_IDLE).await;
     client.send(get("after-idle")).await.unwrap();
-    assert_eq!(connections.load(Ordering::SeqCst), 2, "it is reused");
+    assert_eq!(
+        connections.load(Ordering::SeqCst),
+        2,
+        "the idle connection was reused"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -67,16 +72,16 @@
     assert_eq!(client.send(get("late")).await.unwrap().status, 200);
     assert!(
         sent.elapsed() >= 2 * ONE_WAY_DELAY,
-        "both directions are delayed"
+        "not both directions were delayed"
     );
     link.update_faults(|faults| {
         faults.delay = Duration::ZERO;
         faults.is_frozen = true;
     });
     let response = tokio::time::timeout(PAUSE_TIME, client.send(get("frozen"))).await;
-    assert!(response.is_err(), "a response passed a paused link");
+    assert!(response.is_err(), "a response passed the frozen link");
     assert!(!server.effect_counts().contains_key("frozen"));
-    // A resumed link forwards what it has buffered, though the client has disconnected.
+    // A link that is resumed forwards what it has buffered, even if the client has disconnected.
     link.update_faults(|faults| faults.is_frozen = false);
     let client = Client::new(link.address);
     assert_eq!(client.send(get("thawed")).await.unwrap().status, 200);
@@ -92,7 +97,7 @@
     assert_eq!(
         server.requests_received(),
         0,
-        "an incomplete request was received as complete"
+        "a truncated request was received as complete"
     );
     link.update_faults(|faults| {
         faults.cut_after_bytes_to_server = None;
@@ -105,7 +110,7 @@
     assert_eq!(
         server.effect_counts().get("cut-back"),
         Some(&1),
-        "the request took effect without a response"
+        "the request must take effect once, although its response was cut"
     );
     link.update_faults(|faults| {
         faults.cut_after_bytes_to_client = None;
@@ -119,7 +124,7 @@
     while !server.effect_counts().contains_key("deaf") {
         assert!(
             sent.elapsed() < Duration::from_secs(20),
-            "the request does not arrive"
+            "the request did not reach the server"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -130,7 +135,7 @@
     response.abort();
 }
 
-/// A fault of a server, and what its client and its effect counts have to show.
+/// An injected fault, and the expected response status and effect.
 struct FaultCase {
     inject: fn(&mut ServerBehavior),
     expected_status: Option<u16>,
@@ -218,9 +223,9 @@
     assert_eq!(
         load::run(server.address, &[repeated], DURATION, LOAD_SEED).await[0].sent,
         first_run[0].sent,
-        "a seed determines the schedule"
+        "the same seed gave different schedules"
     );
-    // While the server is paused requests are still sent on schedule, and their whole wait is recorded.
+    // While the server is frozen, requests are still sent on schedule, and their latency includes the whole wait.
     server.update_behavior(|behavior| behavior.is_frozen = true);
     let paused = [Workload {
         name: "frozen".to_owned(),
@@ -236,6 +241,6 @@
     );
     assert!(
         paused_run[0].latency.value_at_quantile(0.5) > MIN_MEDIAN_LATENCY_US,
-        "the wait for a paused server is missing in the latency"
+        "the latency does not include the wait for the frozen server"
     );
 }
