--- a/crates/testbed/src/commands/scenario.rs
+++ b/crates/testbed/src/commands/scenario.rs
@@ -36,11 +36,11 @@
             graphql::run(program, scale).await?
         }
         "membership" => {
-            let scale = args.scale(membership::Scale::SMALL, membership::Scale::WHOLE);
+            let scale = args.scale(membership::Scale::SMALL, membership::Scale::FULL);
             membership::run(program, scale).await?
         }
         "fleet" => {
-            let scale = args.scale(fleet::Scale::SMALL, fleet::Scale::WHOLE);
+            let scale = args.scale(fleet::Scale::SMALL, fleet::Scale::FULL);
             fleet::run(program, scale).await?
         }
         name => return Err(UnknownName::Scenario(name.to_owned()).into()),
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -3,7 +3,7 @@
 
 use super::error::MeasureError;
 use super::{median, round_to_tenth, Plan, Subject};
-use crate::membership::{node_settings, request_kind, RegisteredServer, SERVERS_PATH};
+use crate::membership::{node_settings, workload, RegisteredServer, SERVERS_PATH};
 use crate::node::{cpu_seconds, memory_kib, Node, WAIT_TIMEOUT};
 use crate::pool::{Pool, ServerBehavior};
 use crate::registry::Registry;
@@ -232,7 +232,7 @@
     for (name, settings) in [("static_list", &with_list), ("registry", &following)] {
         let node = Node::start(program, settings).await?;
         node.wait_for_health("/_health", true).await?;
-        let workloads = vec![request_kind(name, "evaluate", plan.rate)];
+        let workloads = vec![workload(name, "evaluate", plan.rate)];
         let subject = Subject::from_node(name, node, workloads);
         subject.warm_up().await;
         subjects.push(subject);
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -79,7 +79,7 @@
 }
 
 /// Requests of one of the services, so many a second. `run` is a prefix of their ids.
-pub fn request_kind(run: &str, service: &str, rate: f64) -> Workload {
+pub fn workload(run: &str, service: &str, rate: f64) -> Workload {
     Workload {
         name: format!("{run}-{service}"),
         host: format!("{service}.example.org"),
--- a/crates/testbed/src/scenario/fleet/ban.rs
+++ b/crates/testbed/src/scenario/fleet/ban.rs
@@ -1,4 +1,5 @@
-//! A ban of a server at one node: when the last node stops sending to the server, and when the first and the last send again.
+//! A server is banned through one node: measures when the last node stops sending to it, and when the first and the last node
+//! send to it again after the ban ends.
 
 use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO, MILLISECONDS_PER_SECOND};
 use crate::fleet::history::TimedEvent;
@@ -10,27 +11,28 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The server that is banned.
+/// Index of the banned server.
 const SERVER: usize = 0;
 /// Time to live of the ban.
 const BAN_SECONDS: u32 = 6;
 const BAN_TTL: Duration = Duration::from_secs(BAN_SECONDS as u64);
-/// Observation before the ban and after its end.
+/// How long attempts are observed before the ban, and after it ends.
 const OBSERVATION: Duration = Duration::from_secs(6);
-/// A node may send again so much before the ban's end, as its ban began earlier by the clock of the history.
+/// A node may send again this long before the computed end of the ban, because the ban took effect before `banned_at` was
+/// read from the clock of the history.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(300);
-/// Lowest rate at which every node sends to the server often enough.
+/// Minimum requests per second at each node; at a lower rate some nodes send to the server too rarely to be observed.
 const LOWEST_RATE: f64 = 20.0;
 const SEED: u64 = 99;
 
-/// The times of this phase, by the clock of the history.
+/// The times of this phase, as durations since the start of the history.
 struct Timeline {
     observed_since: Duration,
     banned_at: Duration,
     ends_at: Duration,
 }
 
-/// Runs the phase on a fleet of its own.
+/// Runs the phase on a separate fleet and returns its figures.
 pub(super) async fn run(program: &Program, scale: &Scale, report: &mut Report) -> Result<Value> {
     let fleet = TestFleet::start(program, &scale.fleet_spec(Some(""))).await?;
     wait_until_converged(&fleet).await?;
@@ -73,21 +75,24 @@
         .last()
         .map_or(Duration::ZERO, |attempt| attempt.at - banned_at);
     report.check(last_attempt <= PROPAGATION_TIME + BAN_GRACE, || {
-        format!("a ban was kept by the last node after {last_attempt:?}")
+        format!("the last node stopped sending to the banned server after {last_attempt:?}")
     });
     let first_attempt_after = |node: &usize| {
         let attempts = queries::attempts(events, SERVER, ends_at, Duration::MAX, &[*node]);
         attempts.first().map(|attempt| attempt.at)
     };
     let resumed: Vec<Duration> = nodes.iter().filter_map(first_attempt_after).collect();
-    // A node may randomly not send to a server for seconds: only those that sent in an interval of the same length before
-    // are expected to send again.
+    // A node may by chance not send to a server for seconds. Only the nodes that sent to it in the equally long interval
+    // before the ban are expected to send to it again.
     let sent_before = |node: &&usize| {
         !queries::attempts(events, SERVER, observed_since, banned_at, &[**node]).is_empty()
     };
     let senders = nodes.iter().filter(sent_before).count();
     report.check(2 * resumed.len() >= senders, || {
-        format!("{} nodes of {senders} send again", resumed.len())
+        format!(
+            "only {} of {senders} nodes send to the server again after the ban",
+            resumed.len()
+        )
     });
     let milliseconds_after_ban = |at: Option<&Duration>| {
         at.map_or(f64::NAN, |at| {
--- a/crates/testbed/src/scenario/fleet/detection.rs
+++ b/crates/testbed/src/scenario/fleet/detection.rs
@@ -1,4 +1,4 @@
-//! How soon all nodes leave a server with a fault, once there is evidence of three nodes.
+//! Measures how soon all nodes stop sending to a faulty server after three nodes have evidence of the fault.
 
 use super::{wait_until_converged, Scale};
 use crate::fleet::probers::names_that_never_probe;
@@ -10,17 +10,17 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// So many servers have a fault, one after another.
+/// Number of servers that get a fault, one after another.
 const FAULTY_SERVERS: usize = 5;
-/// Time without a fault before each, and the duration of each.
+/// Duration of each fault, and of the fault-free time before it.
 const PHASE: Duration = Duration::from_secs(4);
-/// So many nodes have to report a fault before a server is ejected.
+/// Number of nodes that must report a fault before the fleet ejects a server.
 const REPORTERS: usize = 3;
-/// No node probes an ejected server during the phase.
+/// The interval between trials is longer than a fault, so that no node probes an ejected server during it.
 const FLEET_SETTINGS: &str = "verdicts = { trial_every = \"60s\" }";
 const SEED: u64 = 8;
 
-/// Servers answer all requests with errors.
+/// Detection times of servers that answer all requests with errors.
 pub(super) async fn of_failing_server(program: &Program, scale: &Scale) -> Result<Value> {
     let set_fault = |server, is_faulty| Step::SetServerFailures {
         server,
@@ -29,14 +29,14 @@
     measure(program, scale, Duration::ZERO, set_fault).await
 }
 
-/// Servers stop answering: there is evidence once attempts have waited for longer than the latency objective.
+/// Detection times of servers that stop answering. An attempt is evidence once it has waited for the latency objective.
 pub(super) async fn of_paused_server(program: &Program, scale: &Scale) -> Result<Value> {
     let set_fault = |server, paused| Step::SetServerPaused { server, paused };
     measure(program, scale, LATENCY_OBJECTIVE, set_fault).await
 }
 
-/// The distribution of the detection times of one server after another. An attempt is evidence `evidence_delay` after its
-/// start.
+/// Sets a fault on one server after another and returns the distribution of the detection times. An attempt counts as
+/// evidence `evidence_delay` after its start.
 async fn measure(
     program: &Program,
     scale: &Scale,
@@ -66,7 +66,8 @@
     Ok(distribution_ms(&detection_times))
 }
 
-/// From the evidence of the last reporter that is needed to the last attempt by any node.
+/// The time from the first evidence of the `REPORTERS`th node to the last attempt by any node; `None` if fewer nodes sent
+/// an attempt.
 fn detection_time(
     fleet: &TestFleet,
     server: usize,
--- a/crates/testbed/src/scenario/fleet/mass_restart.rs
+++ b/crates/testbed/src/scenario/fleet/mass_restart.rs
@@ -1,4 +1,5 @@
-//! Six in ten nodes are killed at once and started again: how soon the others know of it, and how soon all nodes agree.
+//! Kills 60 % of the nodes at once and starts them again: measures how soon the remaining nodes detect the loss, and how
+//! soon all nodes agree after the restart.
 
 use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO, REPORTED_VIOLATIONS};
 use crate::fleet::verdict_stats::VerdictStats;
@@ -9,11 +10,11 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Load before the kill.
+/// How long the load runs before the nodes are killed.
 const WARM_UP: Duration = Duration::from_secs(2);
 const SEED: u64 = 11;
 
-/// Runs the phase on a fleet of its own.
+/// Runs the phase on a separate fleet and returns its figures.
 pub(super) async fn run(program: &Program, scale: &Scale, report: &mut Report) -> Result<Value> {
     let mut fleet = TestFleet::start(program, &scale.fleet_spec(Some(""))).await?;
     wait_until_converged(&fleet).await?;
@@ -23,7 +24,7 @@
     let killed_at = fleet.history.now();
     (0..killed).for_each(|node| fleet.kill(node));
     fleet
-        .wait_until("those that are left know", async |fleet| {
+        .wait_until("the remaining nodes detect the loss", async |fleet| {
             fleet.is_converged().await
         })
         .await?;
@@ -38,7 +39,7 @@
     let events = fleet.history.events();
     let violations = invariants::violations(&events);
     for violation in violations.iter().take(REPORTED_VIOLATIONS) {
-        report.check(false, || format!("killed: {violation}"));
+        report.check(false, || format!("mass restart: {violation}"));
     }
     let stats = VerdictStats::from_events(&events);
     Ok(json!({
--- a/crates/testbed/src/scenario/fleet/mod.rs
+++ b/crates/testbed/src/scenario/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The scenario `fleet`: nodes that know each other, under random faults and load.
+//! The scenario `fleet`: nodes that exchange gossip, under load and random faults.
 //!
 //! | module | phase |
 //! | --- | --- |
@@ -6,11 +6,11 @@
 //! | `mass_restart` | most of the nodes are killed at once and started again |
 //! | `ban` | an operator bans a server for some seconds |
 //! | `silent_server` | a server that stops answering, with and without gossip between the nodes |
-//! | `detection` | how soon all nodes leave a server with a fault |
+//! | `detection` | how soon all nodes stop sending to a faulty server |
 //!
-//! Promises: no effect twice; every request is answered once and in time; a ban holds at all nodes within a second and the
-//! grace that each has to act on it, and ends at its time; after the faults all nodes agree. The command `scenario` and the
-//! tests call it.
+//! Guarantees: no effect twice; every request is answered once and in time; a ban is in force at all nodes within a second
+//! plus the grace that each node has to apply it, and ends on time; after the faults all nodes agree. Run by the command
+//! `scenario` and by tests.
 
 mod ban;
 mod detection;
@@ -25,31 +25,31 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The size of the fleet and the length of the phases.
+/// The size of the fleet and the duration of the phases.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
     /// Duration of a schedule of random faults.
     pub time: Duration,
     /// Number of schedules of random faults.
     pub seeds: u64,
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
 }
 
 impl Scale {
-    /// The full scenario: some minutes.
-    pub const WHOLE: Scale = Scale {
+    /// The full size: some minutes.
+    pub const FULL: Scale = Scale {
         nodes: 30,
         servers: 15,
         time: Duration::from_secs(60),
         seeds: 3,
         rate: 12.0,
     };
-    /// A scenario that fits into a test.
+    /// The size of a test.
     pub const SMALL: Scale = Scale {
         nodes: 5,
         servers: 6,
@@ -74,14 +74,14 @@
 }
 
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// Share of the requests that must run at most once.
+/// Share of the requests that must take effect at most once.
 const AT_MOST_ONCE_RATIO: f64 = 0.3;
-/// Violations that the report lists of each phase.
+/// Number of violations that the report lists for each phase.
 const REPORTED_VIOLATIONS: usize = 5;
 
 async fn wait_until_converged(fleet: &TestFleet) -> Result<Duration> {
     fleet
-        .wait_until("all know each other", async |fleet| {
+        .wait_until("all nodes know each other", async |fleet| {
             fleet.running_nodes().len() == fleet.node_count() && fleet.is_converged().await
         })
         .await
@@ -90,15 +90,15 @@
 /// Runs the scenario.
 ///
 /// # Errors
-/// Fails if a process can't be started; a broken promise is no error.
+/// If a process can't be started; a violated guarantee is no error.
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
     let mut report = Report::default();
-    let mut storms = Vec::new();
+    let mut random_fault_runs = Vec::new();
     for seed in 1..=scale.seeds {
         let outcome = random_faults::run(program, &scale, seed, &mut report).await?;
-        storms.push(json!({ "seed": seed, "came": outcome.figures() }));
+        random_fault_runs.push(json!({ "seed": seed, "came": outcome.figures() }));
     }
-    report.add_figure("storms", storms);
+    report.add_figure("storms", random_fault_runs);
     let mass_restart = mass_restart::run(program, &scale, &mut report).await?;
     report.add_figure("most_killed", mass_restart);
     let ban = ban::run(program, &scale, &mut report).await?;
@@ -112,13 +112,13 @@
 }
 
 async fn report_silent_server(program: &Program, scale: &Scale, report: &mut Report) -> Result<()> {
-    let with = silent_server::run(program, scale, Some("")).await?;
-    let without = silent_server::run(program, scale, None).await?;
+    let with_gossip = silent_server::run(program, scale, Some("")).await?;
+    let without_gossip = silent_server::run(program, scale, None).await?;
     report.add_figure(
         "silent_server",
-        json!({ "with": with.figures(), "without": without.figures() }),
+        json!({ "with": with_gossip.figures(), "without": without_gossip.figures() }),
     );
-    let ratio = with.attempts as f64 / without.attempts.max(1) as f64;
+    let ratio = with_gossip.attempts as f64 / without_gossip.attempts.max(1) as f64;
     report.add_figure("silent_server_attempts_ratio", (ratio * 1e3).round() / 1e3);
     Ok(())
 }
--- a/crates/testbed/src/scenario/fleet/random_faults.rs
+++ b/crates/testbed/src/scenario/fleet/random_faults.rs
@@ -1,4 +1,4 @@
-//! Generated schedules of faults under load.
+//! Runs generated schedules of faults under load and checks the invariants of the fleet.
 
 use super::{Scale, AT_MOST_ONCE_RATIO, REPORTED_VIOLATIONS};
 use crate::fleet::invariants::SCHEDULING_SLACK;
@@ -9,7 +9,7 @@
 use crate::scripted::Program;
 use crate::Result;
 
-/// Runs the schedule of a seed.
+/// Runs the schedule that is generated from `seed`, on a separate fleet.
 pub(super) async fn run(
     program: &Program,
     scale: &Scale,
@@ -30,7 +30,7 @@
     let stats = VerdictStats::from_events(&outcome.history.events());
     let overrun = stats.ban_overruns.last().copied().unwrap_or_default();
     report.check(overrun <= SCHEDULING_SLACK, || {
-        format!("seed {seed}: a ban was in force {overrun:?} after its end")
+        format!("seed {seed}: a node still applied a ban {overrun:?} after its end")
     });
     Ok(outcome)
 }
--- a/crates/testbed/src/scenario/fleet/silent_server.rs
+++ b/crates/testbed/src/scenario/fleet/silent_server.rs
@@ -1,4 +1,4 @@
-//! A server that stops answering for some seconds, and what that costs.
+//! A server stops answering for some seconds: counts the attempts sent to it and the requests that are not served.
 
 use super::{wait_until_converged, Scale, AT_MOST_ONCE_RATIO};
 use crate::fleet::invariants::PROPAGATION_TIME;
@@ -8,30 +8,30 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The server that stops answering.
+/// Index of the server that stops answering.
 const SERVER: usize = 0;
-/// Load before it stops answering.
+/// How long the load runs before the server stops answering.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// For how long it does not answer.
+/// How long the server does not answer.
 const SILENCE: Duration = Duration::from_secs(10);
 const SEED: u64 = 7;
 
-/// What a server that does not answer costs.
+/// The cost of a server that does not answer, counted while it does not.
 pub(super) struct SilenceCost {
-    /// Attempts at the server.
+    /// Attempts sent to the server.
     pub(super) attempts: usize,
-    /// Attempts before an update could reach all nodes; with gossip, the later ones are probes.
+    /// Attempts within the time that an update takes to reach all nodes; with gossip, later attempts are probes.
     early_attempts: usize,
-    /// Nodes that sent an attempt.
+    /// Number of nodes that sent an attempt to the server.
     nodes: usize,
-    /// Requests that were not served in time.
+    /// Number of requests that were not served in time.
     unserved: usize,
-    /// All requests.
+    /// Number of requests in all.
     requests: usize,
 }
 
 impl SilenceCost {
-    /// The figures of a report.
+    /// The counts as an object of the report.
     pub(super) fn figures(&self) -> Value {
         json!({
             "attempts": self.attempts,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the phase on a fleet of its own; without `fleet_settings` its nodes don't know each other.
+/// Runs the phase on a separate fleet; without `fleet_settings` its nodes exchange no gossip.
 pub(super) async fn run(
     program: &Program,
     scale: &Scale,
--- a/crates/testbed/src/scenario/graphql/clients.rs
+++ b/crates/testbed/src/scenario/graphql/clients.rs
@@ -1,5 +1,5 @@
-//! The clients of the scenario: requests at random times, and faults of the servers meanwhile. Called by `run_once` of the
-//! parent module.
+//! The clients of the scenario: send requests at random times and meanwhile change the faults of the servers. Called by
+//! `run_once` of the parent module.
 
 use super::results::Results;
 use super::Scale;
@@ -16,7 +16,8 @@
 use tokio::task::JoinSet;
 
 const DEADLINE: Duration = Duration::from_secs(2);
-/// A busy machine delays a response by less; a node that missed its deadline would be off by seconds.
+/// Longer than a busy machine delays a response, and shorter than the delay of a node that ignores the deadline, which is
+/// seconds.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(500);
 /// A response this long after the deadline counts as lost.
 const RESPONSE_GRACE: Duration = Duration::from_secs(10);
@@ -56,7 +57,7 @@
     std::mem::take(&mut *results)
 }
 
-/// Freezes one server or none, and changes how responses are corrupt.
+/// Freezes one server or none, and sets how responses are corrupted.
 fn change_faults(pool: &Pool, rng: &mut SeededRng) {
     let frozen = rng.next_u64() as usize % (2 * pool.servers.len());
     let corruption = CORRUPTIONS[rng.next_u64() as usize % CORRUPTIONS.len()];
--- a/crates/testbed/src/scenario/graphql/mod.rs
+++ b/crates/testbed/src/scenario/graphql/mod.rs
@@ -1,7 +1,7 @@
 //! GraphQL under injected faults at every stage of an attempt: reads, mutations and mixed batches.
 //!
-//! Guarantees: no effect twice; every request is answered once and in time; what the response to an entry says is true;
-//! reads are served that would have failed if each POST were treated as unsafe.
+//! Guarantees: no effect twice; every request is answered once and in time; the response to an entry truthfully says whether
+//! it took effect or may be retried; reads are served that would have failed if each POST were treated as unsafe.
 
 mod clients;
 mod results;
@@ -120,22 +120,27 @@
         results.lost == 0 && results.answered == scale.requests,
         || {
             let unanswered = scale.requests - results.answered;
-            format!("{unanswered} of {} without an answer", scale.requests)
+            format!(
+                "{unanswered} of {} requests were not answered",
+                scale.requests
+            )
         },
     );
     report.check(results.late == 0, || {
-        format!("{} answers after the deadline", results.late)
+        format!("{} responses after the deadline", results.late)
+    });
+    report.check(duplicates == 0, || {
+        format!("{duplicates} requests took effect more than once")
     });
-    report.check(duplicates == 0, || format!("{duplicates} effects twice"));
     let took_effect = |id: &&String| effects.contains_key(*id);
     let wrongly_retryable = results.retryable_ids.iter().filter(took_effect).count();
     report.check(wrongly_retryable == 0, || {
-        format!("{wrongly_retryable} were told to be harmless to repeat, and ran")
+        format!("{wrongly_retryable} mutations were reported as retryable but took effect")
     });
     let without_effect = |id: &&String| !effects.contains_key(*id);
     let wrongly_done = results.done_ids.iter().filter(without_effect).count();
     report.check(wrongly_done == 0, || {
-        format!("{wrongly_done} were told to be done, and did not run")
+        format!("{wrongly_done} mutations were reported as done but did not take effect")
     });
 }
 
@@ -162,7 +167,9 @@
         round_to_hundredth(recovered),
     );
     report.check(served > served_if_unsafe, || {
-        format!("{served:.1} % of reads are served, {served_if_unsafe:.1} % if each is unsafe")
+        format!(
+            "{served:.1} % of reads are served, {served_if_unsafe:.1} % if every POST is treated as unsafe"
+        )
     });
 }
 
--- a/crates/testbed/src/scenario/graphql/results.rs
+++ b/crates/testbed/src/scenario/graphql/results.rs
@@ -1,13 +1,14 @@
-//! What the clients of the scenario have received. Filled in by `clients`.
+//! Counts of the responses that the clients of the scenario have received. Filled in by `clients`.
 
 use hyper::StatusCode;
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// Counts of requests and of the entries of their batches.
+/// Counts of requests and of the entries of batches; a request that is no batch counts as one entry.
 #[derive(Default)]
 pub(super) struct Results {
     pub(super) answered: u64,
+    /// Requests without a response.
     pub(super) lost: u64,
     /// Responses after the deadline.
     pub(super) late: u64,
--- a/crates/testbed/src/scenario/membership.rs
+++ b/crates/testbed/src/scenario/membership.rs
@@ -1,12 +1,12 @@
 //! The scenario `membership`: sessions of servers expire under load, at random times and just as a request has arrived, while
 //! the processes continue to serve.
 //!
-//! Promises: a server receives no new request later than 500 ms after its session has expired; no effect twice; every
-//! request is answered once and in time. The command `scenario` and the tests call it.
+//! Guarantees: a server receives no new request later than 500 ms after its session has expired; no effect twice; every
+//! request is answered once and in time. Run by the command `scenario` and by tests.
 
 use super::Report;
 use crate::load::{self, LoadStats};
-use crate::membership::{node_settings, request_kind, RegisteredServer};
+use crate::membership::{node_settings, workload, RegisteredServer};
 use crate::node::Node;
 use crate::pool::{App, AppResponse, Completion, Pool, Server, ServerBehavior};
 use crate::registry::Registry;
@@ -16,60 +16,60 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How many sessions expire, of how many servers.
+/// The size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
-    /// Servers; half of them may be without a session at once.
+    /// Number of servers; up to half of them are without a session at the same time.
     pub servers: usize,
-    /// Sessions that expire.
-    pub kills: usize,
-    /// Requests a second.
+    /// Number of sessions that expire.
+    pub expirations: usize,
+    /// Requests per second.
     pub rate: f64,
 }
 
 impl Scale {
-    /// The full scenario: about a minute.
-    pub const WHOLE: Scale = Scale {
+    /// The full size: about a minute.
+    pub const FULL: Scale = Scale {
         servers: 24,
-        kills: 504,
+        expirations: 504,
         rate: 600.0,
     };
-    /// A scenario that fits into a test.
+    /// The size of a test.
     pub const SMALL: Scale = Scale {
         servers: 6,
-        kills: 24,
+        expirations: 24,
         rate: 150.0,
     };
 
-    /// Expirations of each pair of servers.
+    /// Number of expirations of each pair of servers.
     fn cycles(&self) -> usize {
-        self.kills.div_ceil(self.servers / 2)
+        self.expirations.div_ceil(self.servers / 2)
     }
 }
 
-/// A server may receive new requests for so long after its session has expired.
+/// How long a server may still receive new requests after its session has expired.
 const GRACE: Duration = Duration::from_millis(500);
-/// For how long a server is without a session.
+/// How long a server stays without a session.
 const ABSENCE: Duration = Duration::from_millis(750);
 /// Longest random wait before an expiration, in seconds.
 const RANDOM_WAIT_SECONDS: f64 = 0.3;
 /// Longest wait for a request before an expiration.
 const REQUEST_WAIT: Duration = Duration::from_millis(100);
-/// The time of a cycle beside the absence: both waits together.
+/// The part of a cycle before the expiration: the sum of both longest waits.
 const CYCLE_WAITS: Duration = Duration::from_millis(400);
-/// Load before the first expiration.
+/// How long the load runs before the first expiration.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// Load beyond the expirations.
+/// How much longer the load runs than the expirations take.
 const EXTRA_LOAD: Duration = Duration::from_secs(2);
-/// Each so many expirations, one happens just as a request has arrived.
+/// One in this many expirations happens just as a request has arrived.
 const CYCLES_PER_REQUEST_WAIT: usize = 3;
-/// Least share of requests served in time, in percent.
+/// Minimum share of requests that are served in time, in percent.
 const SERVED_PERCENT: f64 = 99.0;
-/// The services, in the order of their requests in the load.
+/// The services, in the order of their workloads in the load.
 const SERVICES: [&str; 2] = ["evaluate", "toggle"];
-/// Members of the registry.
+/// Number of members of the registry.
 const REGISTRY_MEMBERS: usize = 3;
-/// Requests that a server processes at a time.
+/// Number of requests that a server processes concurrently.
 const SERVER_WORKERS: usize = 8;
 /// How long a server takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
@@ -78,7 +78,7 @@
 /// Seed of the random waits of the first pair of servers; each further pair adds one.
 const WAITS_SEED: u64 = 900;
 
-/// What the expirations share.
+/// State that is shared by the tasks that expire sessions.
 #[derive(Clone)]
 struct SharedState {
     registry: Arc<Registry>,
@@ -90,7 +90,7 @@
 /// Runs the scenario.
 ///
 /// # Errors
-/// Fails if a stand-in or the node can't be started; a broken promise is no error.
+/// If a stand-in or the node can't be started; a violated guarantee is no error.
 pub async fn run(program: &Program, scale: Scale) -> Result<Report> {
     let pool = Pool::start_with_app(
         "flags",
@@ -117,8 +117,8 @@
     let node = Node::start(program, &node_settings(&shared.registry, "", "")).await?;
     node.wait_for_health("/_health", true).await?;
     let kinds = [
-        request_kind("m", "evaluate", scale.rate * 0.8),
-        request_kind("m", "toggle", scale.rate * 0.2),
+        workload("m", "evaluate", scale.rate * 0.8),
+        workload("m", "toggle", scale.rate * 0.2),
     ];
     let cycles = u32::try_from(scale.cycles())?;
     let duration = (ABSENCE + CYCLE_WAITS) * cycles + EXTRA_LOAD;
@@ -175,13 +175,13 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(last_arrival);
-        // The process has run all along. It gets a new session and another name, so that it counts as a new server.
+        // The server process has not been restarted. A new session and a new name make it count as a new server.
         let name = format!("{}.{}", server.name, cycle + 1);
         registered[turn] = RegisteredServer::register(&shared.registry, server, &name, 0);
     }
 }
 
-/// Waits until a server has received a request, but not for long.
+/// Waits until a server has received a request, for at most `REQUEST_WAIT`.
 async fn wait_for_request(server: &Server) {
     let seen_before = server.requests_received();
     let deadline = Instant::now() + REQUEST_WAIT;
@@ -210,7 +210,7 @@
     for (outcome, service) in outcomes.iter().zip(SERVICES) {
         report.add_figure(service, outcome.figures());
         report.check(outcome.lost == 0, || {
-            format!("{service}: {} requests without an answer", outcome.lost)
+            format!("{service}: {} requests were not answered", outcome.lost)
         });
         report.check(outcome.in_time_percent() >= SERVED_PERCENT, || {
             format!(
@@ -221,13 +221,15 @@
         });
     }
     report.check(late == 0, || {
-        format!("{late} servers got new requests past the deadline")
+        format!("{late} times a server received a new request more than {GRACE:?} after its session expired")
+    });
+    report.check(duplicates == 0, || {
+        format!("{duplicates} requests took effect more than once")
     });
-    report.check(duplicates == 0, || format!("{duplicates} effects twice"));
     report
 }
 
-/// Percentiles of ascending durations, in hundredths of a millisecond.
+/// Percentiles of durations in ascending order, in milliseconds rounded to hundredths.
 fn percentiles_ms(sorted: &[Duration]) -> Value {
     let at = |quantile: f64| {
         let index = ((sorted.len() as f64 - 1.0) * quantile) as usize;
@@ -239,7 +241,7 @@
     json!({ "p50": at(0.5), "p90": at(0.9), "p99": at(0.99), "most": at(1.0) })
 }
 
-/// Counts the effects of at-most-once requests alone.
+/// An application that counts only the effects of at-most-once requests, which are sent as POST.
 fn counting_app() -> App {
     Arc::new(|head, _| {
         let id = head
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{json, Map, Value};
 
-/// Least share of requests that are served while nothing stands in their way, in percent.
+/// Minimum share of requests that are served without injected faults or overload, in percent.
 const MIN_SERVED_PERCENT: f64 = 90.0;
 
 /// The result of a scenario.
@@ -24,18 +24,17 @@
         self.figures.insert(name.to_owned(), value.into());
     }
 
-    /// Checks a guarantee; one that doesn't hold is described.
+    /// Checks a guarantee; if it doesn't hold, records the description that `violation` returns.
     pub fn check(&mut self, holds: bool, violation: impl FnOnce() -> String) {
         if !holds {
             self.violations.push(violation());
         }
     }
 
-    /// Checks that load was served although nothing but the scenario stood in its way: what is counted of it shows nothing
-    /// otherwise.
+    /// Checks that a load without injected faults was served; otherwise a comparison with it is meaningless.
     pub fn check_served(&mut self, load: &str, served_percent: f64) {
         self.check(served_percent >= MIN_SERVED_PERCENT, || {
-            format!("{load}: {served_percent:.2} % served, though nothing stands in the way")
+            format!("{load}: only {served_percent:.2} % served without faults or overload")
         });
     }
 
--- a/crates/testbed/src/scenario/services/mod.rs
+++ b/crates/testbed/src/scenario/services/mod.rs
@@ -1,7 +1,7 @@
 //! Three services of one node, one of them overloaded on purpose, and reloads under load.
 //!
-//! Guarantees: the two other services serve within a point of what they serve alone; no effect twice; every request is
-//! answered once; no reload loses a request.
+//! Guarantees: the share of requests that the two other services serve is at most a percentage point below what they serve
+//! alone; no effect twice; every request is answered once; no reload loses a request.
 
 mod pools;
 mod reloads;
@@ -48,7 +48,7 @@
 const OVERLOAD: f64 = 4.0;
 const WARM_UP: Duration = Duration::from_secs(1);
 const WARM_UP_SEED: u64 = 1;
-/// The load alone and the load beside the overload have the same times of requests.
+/// The load without the overload and the load beside it use the same seed, so that requests are sent at the same times.
 const LOAD_SEED: u64 = 2;
 const US_PER_MS: f64 = 1e3;
 
@@ -67,10 +67,12 @@
     reloads::check(&mut report, &mut node, &pools, &settings, scale.reloads).await?;
     let duplicates = pools.duplicate_effects();
     report.add_figure("effects_twice", duplicates);
-    report.check(duplicates == 0, || format!("{duplicates} effects twice"));
+    report.check(duplicates == 0, || {
+        format!("{duplicates} requests took effect more than once")
+    });
     node.signal("TERM")?;
     let ended = node.wait_for_exit().await?;
-    report.check(ended, || "the node does not end well".to_owned());
+    report.check(ended, || "the node does not exit cleanly".to_owned());
     Ok(report)
 }
 
@@ -82,7 +84,7 @@
     ]
 }
 
-/// Sends requests that count for nothing: the first ones open connections, and the balancer learns from them.
+/// Sends requests that are not counted: the first ones open connections, and the balancer learns from them.
 async fn warm_up(node: &Node) {
     load::run(
         node.address(),
@@ -93,7 +95,7 @@
     .await;
 }
 
-/// Checks that an overloaded service takes nothing from the others.
+/// Checks that an overloaded service doesn't reduce the served share of the others.
 async fn check_isolation(report: &mut Report, node: &Node, scale: Scale) {
     let duration = scale.load_duration;
     let alone = load::run(
@@ -117,10 +119,10 @@
         report.check_served(&format!("{name} alone"), before.in_time_percent());
         let served_loss = before.in_time_percent() - after.in_time_percent();
         report.check(served_loss <= scale.max_served_loss, || {
-            format!("{name} serves {served_loss:.2} points less beside the flood")
+            format!("{name} serves {served_loss:.2} percentage points less beside the overload")
         });
         check_answered(report, &format!("{name} alone"), before);
-        check_answered(report, &format!("{name} beside the flood"), after);
+        check_answered(report, &format!("{name} beside the overload"), after);
     }
     check_overloaded(report, &overloaded[2]);
 }
@@ -129,12 +131,14 @@
     report.add_figure("evaluate_flood", evaluate.figures());
     let rejection_us = evaluate.rejection_latency.value_at_quantile(0.5);
     report.add_figure("evaluate_refusal_p50_ms", rejection_us as f64 / US_PER_MS);
-    check_answered(report, "evaluate in the flood", evaluate);
+    check_answered(report, "evaluate under overload", evaluate);
     let served = evaluate.with_status(&[200]);
-    report.check(served > 0, || "nothing of the flood was served".to_owned());
+    report.check(served > 0, || {
+        "no request of the overloaded service was served".to_owned()
+    });
     let rejected = evaluate.with_status(&[429, 503]);
     report.check(rejected > evaluate.sent / 2, || {
-        format!("only {rejected} of the flood were refused")
+        format!("only {rejected} requests of the overloaded service were rejected")
     });
 }
 
@@ -142,9 +146,15 @@
 fn check_answered(report: &mut Report, name: &str, stats: &LoadStats) {
     let (responses, sent) = (stats.responses(), stats.sent);
     report.check(stats.lost == 0 && responses == sent, || {
-        format!("{name}: {} of {sent} without an answer", sent - responses)
+        format!(
+            "{name}: {} of {sent} requests were not answered",
+            sent - responses
+        )
     });
     report.check(stats.mismatched == 0, || {
-        format!("{name}: {} with another's answer", stats.mismatched)
+        format!(
+            "{name}: {} requests got the response to another request",
+            stats.mismatched
+        )
     });
 }
--- a/crates/testbed/src/scenario/services/pools.rs
+++ b/crates/testbed/src/scenario/services/pools.rs
@@ -6,9 +6,9 @@
 use crate::Result;
 use std::time::Duration;
 
-/// The requests per second that the service of evaluations is limited to.
+/// The rate limit of the service `evaluate`, in requests per second.
 pub(super) const EVALUATE_RATE_LIMIT: f64 = 150.0;
-/// A later response is useless to the client.
+/// How long a client waits for a response.
 const DEADLINE: Duration = Duration::from_millis(600);
 const EVALUATE_HOST: &str = "flags.example.org";
 const TOGGLE_HOST: &str = "admin.example.org";
--- a/crates/testbed/src/scenario/services/reloads.rs
+++ b/crates/testbed/src/scenario/services/reloads.rs
@@ -38,16 +38,19 @@
     let results = load.await?;
     for (stats, name) in results.iter().zip(SERVICES) {
         report.add_figure(&format!("{name}_in_{reloads}_reloads"), stats.figures());
-        check_answered(report, &format!("{name} in reloads"), stats);
+        check_answered(report, &format!("{name} during reloads"), stats);
         let failed = stats.sent - stats.with_status(&[200, 429, 503]);
         report.check(failed == 0, || {
-            format!("{name}: {failed} failed in reloads: {:?}", stats.statuses)
+            format!(
+                "{name}: {failed} requests failed during reloads: {:?}",
+                stats.statuses
+            )
         });
     }
     Ok(())
 }
 
-/// Changed limits, another service, a draining server, another deadline, and the first settings.
+/// The settings with changed limits, an added service, a draining server and another deadline, and the original settings.
 fn changed_settings(pools: &ServicePools, settings: &str, spare: &Pool) -> [String; 5] {
     let spare_service = service_settings(&ServiceSettings {
         name: "extra",
@@ -63,7 +66,7 @@
         settings.replace("burst = 20", "burst = 30"),
         format!("{settings}{spare_service}"),
         settings.replacen(&server, &draining_server, 1),
-        // Another deadline makes another pool; requests in flight stay with the old one.
+        // A changed deadline creates a new pool; requests in flight stay with the old one.
         settings.replace("deadline = \"600ms\"", "deadline = \"650ms\""),
         settings.to_owned(),
     ]
