--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,5 +1,5 @@
-//! The measurement `fleet`: processor time and latency of a request with gossip between nodes, without it, and with another
-//! build of the program.
+//! The measurement `fleet`: CPU time and latency of a request with gossip between nodes, without it, and with another build
+//! of the program.
 
 use super::error::MeasureError;
 use super::{median, Plan, Subject, SubjectProcess};
@@ -9,15 +9,15 @@
 use crate::Result;
 use serde_json::{json, Map, Value};
 
-/// Nodes of the fleet with gossip; one of them is loaded.
+/// Number of nodes of the fleet with gossip; one of them receives the load.
 const NODES: usize = 5;
 
-/// Servers of each subject.
+/// Number of servers behind each subject.
 const SERVERS: usize = 8;
 /// Number of the first round, which sets the seed of its load.
 const FIRST_ROUND: u64 = 2;
 
-/// Starts a fleet of which the first node is the subject.
+/// Starts a fleet whose first node is the subject.
 async fn start_subject(
     name: &'static str,
     program: &Program,
@@ -34,7 +34,7 @@
     let fleet = TestFleet::start(program, &spec).await?;
     if has_gossip {
         fleet
-            .wait_until("all know each other", async |fleet| {
+            .wait_until("all nodes know each other", async |fleet| {
                 fleet.is_converged().await
             })
             .await?;
@@ -50,20 +50,23 @@
 
 async fn start_subjects(program: &Program, plan: &Plan) -> Result<Vec<Subject>> {
     let mut subjects = Vec::new();
-    if let Some(old) = &plan.baseline {
-        subjects.push(start_subject("old", old, 1, false, plan.rate).await?);
+    if let Some(baseline) = &plan.baseline {
+        subjects.push(start_subject("old", baseline, 1, false, plan.rate).await?);
     }
     subjects.push(start_subject("off", program, 1, false, plan.rate).await?);
     subjects.push(start_subject("on", program, NODES, true, plan.rate).await?);
     Ok(subjects)
 }
 
-/// Median, minimum and maximum over the rounds of the ratio between the processor times of two subjects.
-fn cpu_ratio(subjects: &[Subject], of: &str, to: &str) -> Option<Value> {
+/// Median, minimum and maximum over the rounds of the CPU time of `numerator` divided by that of `denominator`; `None` if
+/// either was not measured.
+fn cpu_ratio(subjects: &[Subject], numerator: &str, denominator: &str) -> Option<Value> {
     let find = |name: &str| subjects.iter().find(|subject| subject.name == name);
-    let (numerator, denominator) = (find(of)?, find(to)?);
+    let (numerator, denominator) = (find(numerator)?, find(denominator)?);
     let rounds = numerator.cpu_us.iter().zip(&denominator.cpu_us);
-    let mut ratios: Vec<f64> = rounds.map(|(above, below)| above / below).collect();
+    let mut ratios: Vec<f64> = rounds
+        .map(|(numerator_us, denominator_us)| numerator_us / denominator_us)
+        .collect();
     ratios.sort_by(f64::total_cmp);
     Some(json!({
         "median": median(ratios.iter().copied()),
@@ -75,7 +78,7 @@
 /// Runs all rounds and returns the figures.
 ///
 /// # Errors
-/// Fails if a subject can't be started.
+/// If a subject can't be started or does not serve its load.
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let mut subjects = start_subjects(program, plan).await?;
     for subject in &subjects {
--- a/crates/testbed/src/measure/graphql/classification.rs
+++ b/crates/testbed/src/measure/graphql/classification.rs
@@ -24,12 +24,12 @@
     DocumentSize::new("64KiB", 2_200),
     DocumentSize::new("512KiB", 17_500),
 ];
-/// The bytes that are classified in one series.
+/// The number of bytes that are classified in one series.
 const BYTES_PER_SERIES: usize = 2_000_000;
 const MIN_REPETITIONS: usize = 3;
-/// The fastest of these series counts: the others were disturbed.
+/// Number of series. The fastest one counts, because other processes slow down the rest.
 const SERIES: usize = 7;
-/// Limits that admit the largest document.
+/// Limits that the largest document stays below.
 const COST_LIMIT: usize = 100_000;
 const TOKEN_LIMIT: usize = 1_000_000;
 const DOCUMENT_BYTE_LIMIT: usize = 4 << 20;
--- a/crates/testbed/src/measure/graphql/mod.rs
+++ b/crates/testbed/src/measure/graphql/mod.rs
@@ -1,5 +1,5 @@
-//! What GraphQL costs: classification by the size of a document, a request against the same sent plain, memory of open
-//! batches. Run by the command `measure graphql`.
+//! The measurement `graphql`: CPU time of classification by document size, CPU time and latency of a GraphQL request compared
+//! with the same request to a plain service, and memory of open batches. Run by the command `measure graphql`.
 
 mod classification;
 mod open_batches;
@@ -26,7 +26,7 @@
     Ok(figures)
 }
 
-/// The share of a request's processor time that the classification of a small document takes.
+/// The share of a request's CPU time that the classification of a small document takes.
 fn classification_share(classification: &Value, requests: &Value) -> Option<f64> {
     let classification_us = classification["small"]["us"].as_f64()?;
     let request_us = requests["graphql"]["cpu_us_per_request"].as_f64()?;
--- a/crates/testbed/src/measure/graphql/open_batches.rs
+++ b/crates/testbed/src/measure/graphql/open_batches.rs
@@ -1,4 +1,4 @@
-//! Memory of a node while servers are frozen and clients wait for many batches, and for as many plain requests with the
+//! Memory of a node while its servers are frozen and many batches are open, compared with as many plain requests with the
 //! same bodies. Called by `run` of the parent module.
 
 use super::{read_request, round_to_tenth, settings};
@@ -26,10 +26,10 @@
 const POOL_SEED: u64 = 1;
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 const OPEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bounds that admit all batches at once.
+/// Process limits that admit all batches at once.
 const PROCESS_SETTINGS: &str = "[process]\ndescriptors = 8000\nmemory = \"1GiB\"\n\n";
 
-/// Memory of each open request, in KiB.
+/// Memory per request above the node's memory before the load, in KiB.
 struct MemoryPerRequest {
     while_open: f64,
     after_response: f64,
--- a/crates/testbed/src/measure/graphql/requests.rs
+++ b/crates/testbed/src/measure/graphql/requests.rs
@@ -1,5 +1,5 @@
-//! Processor time and latency of GraphQL, of the same requests sent plain, and of batches. Called by `run` of the parent
-//! module.
+//! CPU time and latency of GraphQL requests, of the same requests to a plain service, and of batches. Called by `run` of the
+//! parent module.
 
 use super::{measure_rounds, median_ratio, read_request, settings, Plan, Subject};
 use crate::graphql;
@@ -36,7 +36,7 @@
     Ok(Value::Object(compare(&subjects)))
 }
 
-/// The figures of each subject, with its processor time as a multiple of the plain one's, which is the first.
+/// The figures of each subject, with its CPU time as a multiple of that of the plain service, which is the first subject.
 fn compare(subjects: &[Subject]) -> Map<String, Value> {
     let plain = &subjects[0];
     let mut figures = Map::new();
--- a/crates/testbed/src/measure/membership.rs
+++ b/crates/testbed/src/measure/membership.rs
@@ -1,5 +1,6 @@
-//! The measurement `membership`: what following a registry costs. Entries at rest and while they change, recovery after a lost
-//! member or session, and the processor time of a request against that with a static list.
+//! The measurement `membership`: the cost of following a registry. Measures CPU time, traffic and memory by the number of
+//! entries, with and without changes; the recovery time after the loss of a member or session; and the CPU time of a request
+//! compared with a static server list.
 
 use super::error::MeasureError;
 use super::{median, round_to_tenth, Plan, Subject};
@@ -12,32 +13,32 @@
 use serde_json::{json, Map, Value};
 use std::time::{Duration, Instant};
 
-/// Numbers of entries that are measured.
+/// The numbers of entries for which a node is measured.
 const ENTRY_COUNTS: [usize; 3] = [50, 500, 5_000];
-/// Changes a second while entries change.
+/// Rate of changes to the entries.
 const CHANGES_PER_SECOND: u64 = 1_000;
 /// Interval at which the changes that are due are made.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
-/// Pools of a node that follow the entries: one for each service.
+/// Number of pools of a node that follow the entries: one for each service.
 const POOLS: usize = 2;
-/// Until a node that has started is at rest.
+/// How long a node that has started takes to become idle.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Until a node has handled the last change.
+/// How long a node takes to handle the last change.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
-/// Members of the registry whose loss is measured.
+/// Number of members of the registry in the measurement of recovery.
 const MEMBERS: usize = 3;
-/// Lost members, and expired sessions.
+/// Number of measured member losses, and of measured session expirations.
 const RECOVERIES: usize = 10;
 /// Time between a recovery and the next fault.
 const PAUSE: Duration = Duration::from_millis(200);
-/// Requests of a node for a recovery: for each pool a sync, a watch, the list and both entries.
+/// Number of requests that a node sends to recover: for each pool a sync, a watch, the list and both entries.
 const RECOVERY_REQUESTS: u64 = 10;
 const POOL_SEED: u64 = 1;
 
 /// Runs all measurements and returns the figures.
 ///
 /// # Errors
-/// Fails if a stand-in or a node can't be started.
+/// If a stand-in or a node can't be started, or a subject does not serve its load.
 pub async fn run(program: &Program, plan: &Plan) -> Result<Value> {
     let mut by_count = Map::new();
     for count in ENTRY_COUNTS {
@@ -54,7 +55,7 @@
     Ok(Value::Object(figures))
 }
 
-/// The data of an entry of a server that is draining, so that no request is sent to it. Each round has another address.
+/// The data of the entry of a draining server, to which no request is sent. The address differs from round to round.
 fn draining_entry(index: usize, round: u64) -> Vec<u8> {
     let address = format!(
         "127.{}.{}.{}:9",
@@ -84,7 +85,7 @@
         .collect()
 }
 
-/// What a process and the registry have used until a time.
+/// CPU time of the node's process and bytes sent by the registry, since their start or over an interval.
 struct Usage {
     cpu_seconds: f64,
     bytes_sent: u64,
@@ -98,7 +99,7 @@
         })
     }
 
-    /// What has been used since then.
+    /// The usage since `self` was read.
     fn since(&self, node: &Node, registry: &Registry) -> Result<Usage> {
         let now = Usage::read(node, registry)?;
         Ok(Usage {
@@ -108,7 +109,7 @@
     }
 }
 
-/// A node with two pools that follow so many entries.
+/// Measures a node with two pools that each follow `count` entries, first idle and then while entries change.
 async fn measure_entries(program: &Program, count: usize, duration: Duration) -> Result<Value> {
     let registry = Registry::start(1).await?;
     let behavior = ServerBehavior::healthy(Duration::from_millis(1));
@@ -132,7 +133,7 @@
     let before = Usage::read(&node, &registry)?;
     let changes = change_entries(&registry, session, count, duration).await;
     tokio::time::sleep(DRAIN_TIME).await;
-    let in_motion = before.since(&node, &registry)?;
+    let while_changing = before.since(&node, &registry)?;
     let seconds = duration.as_secs_f64();
     let pool_changes = (POOLS as u64 * changes) as f64;
     let kib_per_entry = (memory as f64 - memory_without_entries as f64) / (POOLS * count) as f64;
@@ -142,13 +143,13 @@
         "rest_cpu_percent": round_to_tenth(at_rest.cpu_seconds / seconds * 100.0),
         "rest_bytes_a_second": round_to_tenth(at_rest.bytes_sent as f64 / seconds),
         "changes": changes,
-        "cpu_us_for_each_change_and_pool": round_to_tenth(in_motion.cpu_seconds * 1e6 / pool_changes),
-        "bytes_for_each_change_and_pool": round_to_tenth(in_motion.bytes_sent as f64 / pool_changes),
+        "cpu_us_for_each_change_and_pool": round_to_tenth(while_changing.cpu_seconds * 1e6 / pool_changes),
+        "bytes_for_each_change_and_pool": round_to_tenth(while_changing.bytes_sent as f64 / pool_changes),
         "kib_grown_in_motion": memory_kib(node.pid())?.saturating_sub(memory),
     }))
 }
 
-/// Changes entries for a while; returns the number of changes.
+/// Changes entries at `CHANGES_PER_SECOND` for `duration`; returns the number of changes.
 async fn change_entries(
     registry: &Registry,
     session: i64,
@@ -170,7 +171,7 @@
     changes
 }
 
-/// From the loss of a member, and from the expiry of the node's sessions, until the node has read everything again.
+/// Measures how long the node takes to read everything again after the loss of a member, and after its sessions expire.
 async fn measure_recovery(program: &Program) -> Result<Value> {
     let registry = Registry::start(MEMBERS).await?;
     let behavior = ServerBehavior::healthy(Duration::from_millis(1));
@@ -180,7 +181,7 @@
     let server_sessions: Vec<i64> = registered.iter().map(|server| server.session).collect();
     let (mut fail_over_ms, mut expiry_ms) = (vec![], vec![]);
     for _ in 0..RECOVERIES {
-        // Both pools end at the last member, whichever they are connected to.
+        // Only the last member is up again, so both pools connect to it, whichever member they were connected to.
         let before = registry.counters().requests;
         for member in 0..MEMBERS {
             registry.set_member_down(member, true);
@@ -208,7 +209,7 @@
     }))
 }
 
-/// How long it takes until the node has sent the requests of a recovery, after `before` ones.
+/// Milliseconds until the registry has received `RECOVERY_REQUESTS` more requests than `before`.
 async fn recovery_ms(registry: &Registry, before: u64) -> Result<f64> {
     let started = Instant::now();
     while registry.counters().requests < before + RECOVERY_REQUESTS {
@@ -220,16 +221,19 @@
     Ok(started.elapsed().as_secs_f64() * 1e3)
 }
 
-/// Processor time of a request, with a static list and with that of a registry.
+/// CPU time of a request with a static server list, and with servers from a registry.
 async fn measure_requests(program: &Program, plan: &Plan) -> Result<Value> {
     let registry = Registry::start(1).await?;
     let behavior = ServerBehavior::healthy(Duration::from_millis(2));
     let pool = Pool::start("flags", 8, behavior, POOL_SEED).await?;
     let _registered = register_all(&registry, &pool);
-    let following = node_settings(&registry, "", "");
-    let with_list = with_static_list(&following, &pool);
+    let registry_settings = node_settings(&registry, "", "");
+    let static_settings = with_static_list(&registry_settings, &pool);
     let mut subjects = Vec::new();
-    for (name, settings) in [("static_list", &with_list), ("registry", &following)] {
+    for (name, settings) in [
+        ("static_list", &static_settings),
+        ("registry", &registry_settings),
+    ] {
         let node = Node::start(program, settings).await?;
         node.wait_for_health("/_health", true).await?;
         let workloads = vec![workload(name, "evaluate", plan.rate)];
@@ -238,7 +242,7 @@
         subjects.push(subject);
     }
     for round in 0..plan.rounds {
-        // In turn, so that neither is always the first.
+        // The order alternates, so that neither subject always runs first.
         for position in 0..subjects.len() {
             let index = (position + round) % subjects.len();
             subjects[index].measure_round(plan, round as u64).await?;
@@ -254,7 +258,7 @@
     }))
 }
 
-/// The same settings with the servers of the pool in place of the registry.
+/// The settings with the servers of the pool listed in each service in place of its registry.
 fn with_static_list(settings: &str, pool: &Pool) -> String {
     let is_registry_line = |line: &&str| line.starts_with("registry = {");
     let replace = |part: &str| {
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Processor time, latency and memory of a node. All subjects of a measurement run in turn on one machine, several rounds
-//! each; what counts is the ratio of two subjects within a round. Run by the command `measure`.
+//! Measurements of CPU time, latency and memory of a node. The subjects of a measurement run in turn on one machine, several
+//! rounds each; the result is the ratio of two subjects within a round. Run by the command `measure`.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -9,7 +9,7 @@
 //! | `fleet` | a node that is part of a fleet |
 //! | `subject` | a process under load and its rounds |
 //! | `statistics` | medians and rounding |
-//! | `error` | why a measurement has no result |
+//! | `error` | errors of measurements |
 
 mod error;
 pub mod fleet;
@@ -25,15 +25,15 @@
 use crate::node::Program;
 use std::time::Duration;
 
-/// How many rounds, and the load of each.
+/// The number of rounds, and the load of each.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Rounds of all subjects.
+    /// Number of rounds; each one measures every subject once.
     pub rounds: usize,
     /// How long one subject is under load in a round.
     pub round_duration: Duration,
     /// Requests per second.
     pub rate: f64,
-    /// A node to compare with, started by the platform's settings.
+    /// Another build of the node to compare with.
     pub baseline: Option<Program>,
 }
--- a/crates/testbed/src/measure/services/mod.rs
+++ b/crates/testbed/src/measure/services/mod.rs
@@ -1,5 +1,5 @@
-//! Processor time and latency for each request against a bare relay, rejections, route lookups, memory of an idle service.
-//! Run by the command `measure services`.
+//! The measurement `services`: CPU time and latency per request compared with a bare relay, CPU time of rejections and route
+//! lookups, and memory of an idle service. Run by the command `measure services`.
 
 mod routes;
 mod subjects;
@@ -15,13 +15,13 @@
 
 const SERVERS_PER_POOL: usize = 8;
 const SERVICE_TIME: Duration = Duration::from_millis(2);
-/// Rounds of the load that is rejected, or fewer if the plan has fewer.
+/// Maximum number of rounds for the comparison of rejected with served requests; a plan may have fewer.
 const REJECTION_ROUNDS: usize = 3;
 const REJECTION_SEED_BASE: u64 = 50;
 /// A limit that rejects almost all requests.
 const LOW_LIMIT: &str = "limits = { rate = \"1/s\", burst = 1 }\n";
 const IDLE_SERVERS_PER_SERVICE: usize = 8;
-/// The numbers of services of the nodes whose memory is compared.
+/// The memory of a service is the difference between a node with few and one with many idle services.
 const FEW_IDLE_SERVICES: usize = 1;
 const MANY_IDLE_SERVICES: usize = 101;
 const US_PER_SECOND: f64 = 1e6;
@@ -53,7 +53,7 @@
     Ok(Value::Object(figures))
 }
 
-/// The figures of each subject, with its processor time as a multiple of the relay's and the baseline's.
+/// The figures of each subject, with its CPU time as a multiple of that of the relay and of the baseline.
 fn compare(subjects: &[Subject]) -> Map<String, Value> {
     let mut figures = Map::new();
     for subject in subjects {
@@ -69,7 +69,7 @@
     figures
 }
 
-/// Processor time of a request over the limit against one that is served, on the same node.
+/// CPU time of requests to a node that rejects almost all of them, compared with a node that serves them.
 async fn measure_rejections(program: &Program, pool: &Pool, plan: &Plan) -> Result<Value> {
     let served = cpu_with_limits(program, pool, plan, "").await?;
     let rejected = cpu_with_limits(program, pool, plan, LOW_LIMIT).await?;
@@ -80,7 +80,7 @@
     }))
 }
 
-/// Processor time for each request to a service with these limits, in microseconds.
+/// CPU time per request to a service with these limits, in microseconds.
 async fn cpu_with_limits(program: &Program, pool: &Pool, plan: &Plan, limits: &str) -> Result<f64> {
     let settings = settings(|_| pool.server_settings(), 1, limits);
     let node = Node::start(program, &settings).await?;
@@ -98,7 +98,7 @@
     Ok(median(cpu_us.into_iter()))
 }
 
-/// Memory of one service that has servers and no requests.
+/// Memory of one service that has servers but receives no requests, in KiB.
 async fn measure_idle_service(program: &Program) -> Result<Value> {
     let few = memory_of_idle_services(program, FEW_IDLE_SERVICES).await?;
     let many = memory_of_idle_services(program, MANY_IDLE_SERVICES).await?;
@@ -113,7 +113,7 @@
     Ok(memory_kib(node.pid())? as f64)
 }
 
-/// Addresses without servers: no request is sent there.
+/// Server sections whose addresses nothing listens on; no request is sent to them.
 fn unreachable_servers(service: usize) -> String {
     let section = |server: usize| {
         format!(
--- a/crates/testbed/src/measure/services/routes.rs
+++ b/crates/testbed/src/measure/services/routes.rs
@@ -9,8 +9,9 @@
 use std::time::Instant;
 
 const TABLE_SIZES: [usize; 3] = [10, 1_000, 10_000];
-/// Different requests of a measurement, and how often each is looked up.
+/// Number of different requests of a measurement.
 const REQUESTS: u64 = 1_000;
+/// How often each request is looked up.
 const REPETITIONS: u64 = 200;
 const REQUEST_SEED: u64 = 3;
 /// Routes with consecutive numbers share a host.
--- a/crates/testbed/src/measure/services/subjects.rs
+++ b/crates/testbed/src/measure/services/subjects.rs
@@ -1,5 +1,5 @@
-//! The processes that are compared: nodes on the platform's settings, a bare relay, a node of three services. Started by
-//! `run` of the parent module.
+//! The processes that are compared: nodes with the platform's settings, a bare relay, and a node with three services. Started
+//! by `run` of the parent module.
 
 use super::{Plan, Subject};
 use crate::discovery::{Discovery, ListedServer};
@@ -16,11 +16,11 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// A later response is useless to the client.
+/// How long a client waits for a response.
 const DEADLINE: Duration = Duration::from_millis(600);
 const SETTINGS_HEAD: &str = "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n";
 
-/// The list of the servers of a pool.
+/// Starts a discovery that lists the servers of a pool.
 pub(super) async fn start_discovery(pool: &Pool) -> Result<Discovery> {
     let listed = pool
         .servers
@@ -53,7 +53,7 @@
     evaluate_requests(name, &service_host(0), plan.rate)
 }
 
-/// Idempotent requests to a host.
+/// A workload of idempotent requests to a host, with `rate` requests per second.
 pub(super) fn evaluate_requests(name: &str, host: &str, rate: f64) -> Workload {
     Workload {
         name: name.to_owned(),
@@ -89,7 +89,7 @@
     text
 }
 
-/// Starts a node as the platform does.
+/// Starts a node the way the platform does: with a JSON configuration file that `ROUTER_CONFIG` names.
 async fn start_platform_node(
     name: &'static str,
     program: &Program,
@@ -146,7 +146,7 @@
     ))
 }
 
-/// Reads the line in which a program prints its addresses.
+/// Reads the client address from the first line of the program's output, which lists its addresses.
 async fn read_client_address(child: &mut Child) -> Result<SocketAddr> {
     let output = child.stdout.take().ok_or(MeasureError::NoOutput)?;
     let mut lines = BufReader::new(output).lines();
--- a/crates/testbed/src/measure/subject.rs
+++ b/crates/testbed/src/measure/subject.rs
@@ -1,4 +1,4 @@
-//! A process under load, and what each round has measured of it. Used by all measurements.
+//! A process under load and the figures of its rounds. Used by all measurements.
 
 use super::error::MeasureError;
 use super::statistics::{median, round_to_tenth};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::process::Child;
 
-/// Of the requests of a round, this share must be served.
+/// Minimum share of the requests of a round that must be served, in percent.
 const MIN_SERVED_PERCENT: u64 = 98;
 const ROUND_SEED_BASE: u64 = 1000;
 const WARM_UP: Duration = Duration::from_secs(1);
@@ -27,14 +27,14 @@
     pub(super) address: SocketAddr,
     pid: u32,
     workloads: Vec<Workload>,
-    /// Processor time for each request, by round, in microseconds.
+    /// CPU time per request of each round, in microseconds.
     pub(super) cpu_us: Vec<f64>,
     p50_ms: Vec<f64>,
     p99_ms: Vec<f64>,
     _process: SubjectProcess,
 }
 
-/// The owner of the process.
+/// Owns the process of a subject and ends it when dropped.
 pub(super) enum SubjectProcess {
     Child {
         _child: Child,
@@ -56,7 +56,7 @@
         Self::new(name, address, pid, workloads, process)
     }
 
-    /// Some other process, with the folder of its settings.
+    /// A process other than a `Node`, with the folder of its settings if it has one.
     pub(super) fn from_child(
         name: &'static str,
         address: SocketAddr,
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Sends requests that count for nothing: the first ones open connections.
+    /// Sends requests that are not measured: the first ones open connections.
     pub(super) async fn warm_up(&self) {
         load::run(self.address, &self.workloads, WARM_UP, WARM_UP_SEED).await;
     }
 
-    /// Runs one round of load.
+    /// Runs one round of load and records its CPU time and latencies.
     pub(super) async fn measure_round(&mut self, plan: &Plan, round: u64) -> Result<()> {
         let cpu_before = cpu_seconds(self.pid)?;
         let mut workloads = self.workloads.clone();
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Medians over all rounds.
+    /// The medians over all rounds.
     pub(super) fn figures(&self) -> Value {
         json!({
             "cpu_us_per_request": round_to_tenth(median(self.cpu_us.iter().copied())),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Runs all rounds of all subjects, in another order in each round, so that no subject always follows the same one.
+/// Runs all rounds. Each round starts with the next subject, so that no subject always runs first.
 pub(super) async fn measure_rounds(subjects: &mut [Subject], plan: &Plan) -> Result<()> {
     for round in 0..plan.rounds {
         for offset in 0..subjects.len() {
