--- a/crates/testbed/src/commands/demo.rs
+++ b/crates/testbed/src/commands/demo.rs
@@ -6,11 +6,11 @@
 
 #[derive(clap::Args)]
 pub struct DemoArgs {
-    /// `services`, `graphql` or `membership`
+    /// The demo: `services`, `graphql` or `membership`
     name: String,
 }
 
-/// Runs a demo until the program gets a signal.
+/// Runs a demo until the program gets a shutdown signal.
 pub async fn run(program: &Program, args: &DemoArgs) -> Result<()> {
     match args.name.as_str() {
         "services" => demo::services(program).await,
--- a/crates/testbed/src/commands/error.rs
+++ b/crates/testbed/src/commands/error.rs
@@ -1,15 +1,15 @@
-//! Errors of the arguments of a command.
+//! Errors in the arguments of a command.
 
-/// An argument names nothing that the command can run.
+/// A name in the arguments that the command doesn't know.
 #[derive(Debug, thiserror::Error)]
 pub enum UnknownName {
     /// Not the name of a demo.
-    #[error("there is no demo `{0}`: services, graphql, membership")]
+    #[error("unknown demo `{0}`; expected services, graphql or membership")]
     Demo(String),
     /// Not the name of a measurement.
-    #[error("there is no measurement `{0}`: services, graphql, membership, fleet")]
+    #[error("unknown measurement `{0}`; expected services, graphql, membership or fleet")]
     Measurement(String),
     /// Not the name of a scenario.
-    #[error("there is no scenario `{0}`: services, graphql, membership, fleet")]
+    #[error("unknown scenario `{0}`; expected services, graphql, membership or fleet")]
     Scenario(String),
 }
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,36 +1,36 @@
-//! The command `load`: requests at random times.
+//! The command `load`: sends requests at random times.
 
 use reelfall_testbed::load::{self, RequestHeader, Workload};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the clients wait.
+/// How long a client waits for a response.
 const CLIENT_DEADLINE: Duration = Duration::from_millis(600);
 
 #[derive(clap::Args)]
 pub struct LoadArgs {
-    /// Where to
+    /// Address that the requests are sent to
     #[arg(long)]
     to: SocketAddr,
-    /// Host
+    /// Value of the header `Host`
     #[arg(long, default_value = "flags.example.org")]
     host: String,
-    /// Path
+    /// Path of the requests
     #[arg(long, default_value = "/api")]
     path: String,
-    /// POST instead of GET
+    /// Send POST instead of GET requests
     #[arg(long)]
     post: bool,
-    /// X-Service-Class
+    /// Value of the header `X-Service-Class`; without it, the header is not sent
     #[arg(long)]
     class: Option<String>,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// Seconds
+    /// Duration of the load in seconds
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// For the moments
+    /// Seed of the random times of the requests
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
--- a/crates/testbed/src/commands/measure.rs
+++ b/crates/testbed/src/commands/measure.rs
@@ -1,4 +1,4 @@
-//! The command `measure`: processor time, latency and memory of a node.
+//! The command `measure`: CPU time, latency and memory of a node.
 
 use super::error::UnknownName;
 use reelfall_testbed::measure::{self, Plan};
@@ -9,23 +9,23 @@
 
 #[derive(clap::Args)]
 pub struct MeasureArgs {
-    /// `services`, `graphql`, `membership` or `fleet`
+    /// The measurement: `services`, `graphql`, `membership` or `fleet`
     name: String,
-    /// Another node to compare with
+    /// Another build of the node to compare with
     #[arg(long, value_name = "PROGRAM")]
     old: Option<PathBuf>,
-    /// Rounds of all subjects
+    /// Number of rounds; each one measures every subject once
     #[arg(long, default_value_t = 7)]
     rounds: usize,
-    /// Seconds of a subject in a round
+    /// Seconds of load on each subject in a round
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 1000.0)]
     rate: f64,
 }
 
-/// Measures and prints the figures.
+/// Runs a measurement and prints its figures.
 pub async fn run(program: &Program, args: MeasureArgs) -> Result<()> {
     let plan = Plan {
         rounds: args.rounds,
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, a module for each kind. Called by `main`.
+//! The commands of the program. Called by `main`.
 
 pub mod demo;
 pub mod error;
@@ -11,7 +11,7 @@
 
 use serde_json::{json, Value};
 
-/// Prints the line that says that stand-ins are ready, with their addresses.
+/// Prints a JSON line that reports that the stand-ins are ready, with their addresses.
 fn print_ready(addresses: Value) {
     println!("{}", json!({ "ready": true, "addresses": addresses }));
 }
--- a/crates/testbed/src/commands/scenario.rs
+++ b/crates/testbed/src/commands/scenario.rs
@@ -1,4 +1,4 @@
-//! The command `scenario`: guarantees of a node under load and faults.
+//! The command `scenario`: checks the guarantees of a node under load and faults.
 
 use super::error::UnknownName;
 use reelfall_testbed::node::Program;
@@ -7,9 +7,9 @@
 
 #[derive(clap::Args)]
 pub struct ScenarioArgs {
-    /// `services`, `graphql`, `membership` or `fleet`
+    /// The scenario: `services`, `graphql`, `membership` or `fleet`
     name: String,
-    /// The small form, as in the tests
+    /// Run at the small size that the tests use
     #[arg(long)]
     small: bool,
 }
--- a/crates/testbed/src/commands/stand_ins.rs
+++ b/crates/testbed/src/commands/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The commands that run one stand-in until the program gets a signal.
+//! The commands that run one stand-in until the program gets a shutdown signal.
 
 use super::print_ready;
 use reelfall_testbed::discovery::{Discovery, ListedServer};
@@ -17,21 +17,21 @@
 
 #[derive(clap::Args)]
 pub struct PoolArgs {
-    /// How many
+    /// Number of servers
     #[arg(long, default_value_t = 3)]
     servers: usize,
-    /// Milliseconds of a request
+    /// Service time of a request in milliseconds
     #[arg(long, default_value_t = 20)]
     service_ms: u64,
-    /// Share of requests answered 500
+    /// Share of requests that are answered with status 500
     #[arg(long, default_value_t = 0.0)]
     fail: f64,
-    /// Share whose connection closes after the effect
+    /// Share of requests whose connection is closed after they took effect
     #[arg(long, default_value_t = 0.0)]
     die: f64,
 }
 
-/// Runs servers; prints what they have received at the end.
+/// Runs servers; at the end prints how many requests they have received and how many took effect more than once.
 pub async fn run_pool(args: &PoolArgs) -> Result<()> {
     let behavior = ServerBehavior {
         error_ratio: args.fail,
@@ -54,12 +54,12 @@
 
 #[derive(clap::Args)]
 pub struct DiscoveryArgs {
-    /// Their addresses
+    /// Address of a listed server; may be repeated
     #[arg(long = "server", required = true)]
     servers: Vec<SocketAddr>,
 }
 
-/// Runs the platform's discovery.
+/// Runs a stand-in for the platform's discovery.
 pub async fn run_discovery(args: &DiscoveryArgs) -> Result<()> {
     let mut listed = Vec::new();
     for (index, address) in args.servers.iter().enumerate() {
@@ -76,15 +76,15 @@
 
 #[derive(clap::Args)]
 pub struct RegistryArgs {
-    /// Where the first member listens; port 0 is any
+    /// Address on which the first member listens; port 0 picks a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// How many
+    /// Number of members
     #[arg(long, default_value_t = 3)]
     members: usize,
 }
 
-/// Runs a registry and the address of its controls.
+/// Runs a registry and a listener for its control commands.
 pub async fn run_registry(args: &RegistryArgs) -> Result<()> {
     let registry = Arc::new(Registry::start_at(args.listen, args.members).await?);
     let listener = TcpListener::bind((args.listen.ip(), 0)).await?;
@@ -103,19 +103,19 @@
 
 #[derive(clap::Args)]
 pub struct LinkArgs {
-    /// Where it leads
+    /// Address that connections are forwarded to
     #[arg(long)]
     to: SocketAddr,
-    /// Milliseconds later, either way
+    /// Added delay in each direction in milliseconds
     #[arg(long, default_value_t = 0)]
     delay_ms: u64,
-    /// Bytes after which a connection is cut, to the server
+    /// Number of bytes sent to the server after which a connection is closed
     #[arg(long)]
     cut: Option<u64>,
-    /// Bytes a second
+    /// Maximum bytes per second
     #[arg(long)]
     throttle: Option<u64>,
-    /// What the server says is lost
+    /// Drop everything that the server sends
     #[arg(long)]
     deaf: bool,
 }
@@ -136,7 +136,7 @@
 
 #[derive(clap::Args)]
 pub struct RelayArgs {
-    /// The servers
+    /// Address of a server; may be repeated
     #[arg(long = "to", required = true)]
     to: Vec<SocketAddr>,
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! A node with its stand-ins, for manual use. Run by the command `demo`.
+//! Demos: a node with its stand-ins, for manual use. Run by the command `demo`.
 
 use crate::membership::{node_settings, RegisteredServer};
 use crate::node::{wait_for_health, Node, Program};
@@ -18,11 +18,11 @@
 const GRAPHQL_WORKERS: usize = 16;
 const REGISTRY_MEMBERS: usize = 3;
 const REGISTERED_SERVERS: usize = 4;
-/// The entry of the node itself in the registry.
+/// Settings by which the node registers its own entry in the registry.
 const NODE_ENTRY: &str =
     "[registry.entry]\npath = \"/nodes/demo\"\nname = \"demo\"\nsite = \"here\"";
 
-/// Runs a node with three services, for evaluation, toggles and rollouts, until the program gets a signal.
+/// Runs a node with three services, for evaluation, toggles and rollouts, until the program gets a shutdown signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Runs a node with GraphQL at `/graphql` until the program gets a signal.
+/// Runs a node with GraphQL at `/graphql` until the program gets a shutdown signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
@@ -68,7 +68,8 @@
     Ok(())
 }
 
-/// Runs a node whose servers have entries in a registry, and the registry's controls, until the program gets a signal.
+/// Runs a node whose servers have entries in a registry, and a listener for the registry's control commands, until the
+/// program gets a shutdown signal.
 ///
 /// # Errors
 /// If a stand-in or the node can't be started.
@@ -125,16 +126,16 @@
     }
 }
 
-/// Prints the line that says that the demo is ready.
+/// Prints a JSON line that reports that the demo is ready.
 fn print_ready(addresses: &Value) {
     println!("{}", json!({ "ready": true, "addresses": addresses }));
 }
 
 fn print_settings_path(node: &Node) {
-    eprintln!("the settings: {}", node.settings_file().display());
+    eprintln!("settings file: {}", node.settings_file().display());
 }
 
-/// Prints what the servers have received.
+/// Prints how many requests the servers have received and how many took effect more than once.
 fn print_totals(pool: &Pool) {
     let totals =
         json!({ "seen": pool.requests_received(), "effects_twice": pool.duplicate_effects() });
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `reelfall-testbed`: its arguments and the choice of a command.
+//! The program `reelfall-testbed`: parses the arguments and dispatches the command.
 
 mod commands;
 
@@ -14,7 +14,7 @@
 #[derive(Parser)]
 #[command(name = "reelfall-testbed", version)]
 struct Cli {
-    /// The node's program; by default the node that is part of this one
+    /// The program of the node; by default the node that is built into this program
     #[arg(long, global = true, value_name = "PROGRAM")]
     node: Option<PathBuf>,
     #[command(subcommand)]
@@ -23,34 +23,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Servers with a set capacity, until ended
+    /// Runs servers with a configurable service time until it gets a shutdown signal
     Pool(stand_ins::PoolArgs),
-    /// The platform's discovery with a list of servers, until ended
+    /// Runs a stand-in for the platform's discovery with a list of servers until it gets a shutdown signal
     Discovery(stand_ins::DiscoveryArgs),
-    /// A registry in the manner of ZooKeeper, with controls for failures, until ended
+    /// Runs a ZooKeeper-like registry with controls for failures until it gets a shutdown signal
     Registry(stand_ins::RegistryArgs),
-    /// A path to an address, with faults, until ended
+    /// Forwards connections to an address, with faults, until it gets a shutdown signal
     Link(stand_ins::LinkArgs),
-    /// A proxy that decides nothing, until ended
+    /// Runs a plain round-robin proxy until it gets a shutdown signal
     Relay(stand_ins::RelayArgs),
-    /// Requests at random moments; the figures are the last line
+    /// Sends requests at random times; prints the figures as the last line
     Load(load::LoadArgs),
-    /// Plays a scenario; its report is the last line, and a broken promise an exit code
+    /// Runs a scenario; prints its report as the last line and fails if a guarantee is violated
     Scenario(scenario::ScenarioArgs),
-    /// A fleet of nodes under load, and a schedule of faults: drawn from a seed, or read from a file of lines
+    /// Runs a fleet of nodes under load with a schedule of faults that is generated from a seed or read from a file
     Fleet(fleet::ScheduleArgs),
-    /// Many drawn days, each judged by what clients and servers saw; a red one is an exit code
+    /// Runs many generated runs, checks each by what clients and servers observed, and fails if one violates a rule
     Soak(soak::SoakArgs),
-    /// Sleeps, and prints when it woke late, until nobody reads
+    /// Sleeps repeatedly and prints late wake-ups until its output is closed
     #[command(hide = true)]
     StallMeter,
-    /// A node with its stand-ins, until ended
+    /// Runs a node with its stand-ins until it gets a shutdown signal
     Demo(demo::DemoArgs),
-    /// Measures what the node costs; the figures are the last line
+    /// Measures CPU time, latency and memory of a node; prints the figures as the last line
     Measure(measure::MeasureArgs),
 }
 
-/// Runs a command. Returns whether all that it checks holds.
+/// Runs a command. Returns whether all of its checks hold; `true` for a command without checks.
 async fn run(cli: Cli) -> Result<bool> {
     let program = match cli.node {
         Some(path) => Program::standalone(path),
@@ -73,9 +73,9 @@
     Ok(true)
 }
 
-/// Runs a command on a runtime of its own.
+/// Runs a command on a new runtime.
 fn run_blocking(cli: Cli) -> Result<bool> {
-    // The relay is measured against a node, which has one thread.
+    // The relay has one thread because it is measured against a node, which has one thread too.
     let mut runtime = match cli.command {
         Command::Relay(_) => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
@@ -86,7 +86,7 @@
 fn main() -> ExitCode {
     let mut args: Vec<_> = std::env::args_os().collect();
     if args.get(1).is_some_and(|command| command == "node") {
-        // The node itself: a scenario starts this program again and needs no other one.
+        // Runs the node: scenarios start their nodes as this same program, so that no second program is needed.
         args.remove(0);
         return reelfall::cli::main(args);
     }
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,6 +1,5 @@
-//! Servers that are registered in a registry, and the settings of a node that follows their entries.
-//!
-//! The demo, the scenario and the measurement `membership` and the tests of registries call it.
+//! Servers that are registered in a registry, and the settings of a node that follows their entries. Used by the demo, the
+//! scenario and the measurement `membership` and by the tests of registries.
 
 use crate::load::Workload;
 use crate::pool::Server;
@@ -8,12 +7,12 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Path of the servers' entries.
+/// Path below which the servers have their entries.
 pub const SERVERS_PATH: &str = "/flags/evaluate";
-/// Deadline of requests of both services.
+/// How long a client of either service waits for a response.
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// A server with an ephemeral entry, whose session lives until it is expired.
+/// A server with an ephemeral entry, whose session lasts until `expire_session` is called.
 pub struct RegisteredServer {
     /// Name of the server and of its entry.
     pub name: String,
@@ -21,7 +20,7 @@
     pub session: i64,
 }
 
-/// The data of a server's entry. `started_ms` is in milliseconds of Unix time; 0 for long ago.
+/// The data of a server's entry. `started_ms` is the server's start in milliseconds of Unix time; 0 stands for long ago.
 pub fn entry_data(address: &str, started_ms: u64) -> Vec<u8> {
     json!({ "address": address, "zone": "a", "started": started_ms })
         .to_string()
@@ -45,15 +44,15 @@
         }
     }
 
-    /// Expires the session. The server's process continues.
+    /// Expires the session. The server's process continues to serve.
     pub fn expire_session(&self, registry: &Registry) {
         registry.expire_session(self.session);
     }
 }
 
 /// The settings of a node with the services `evaluate` (idempotent, `GET`) and `toggle` (at most once, `POST`), which both
-/// follow the entries of the servers. `service_options` are added to the registry of each service, `registry_lines` to the
-/// section of the registry.
+/// follow the entries of the servers. `service_options` is appended to the registry table of each service, `registry_lines`
+/// to the section of the registry.
 pub fn node_settings(registry: &Registry, service_options: &str, registry_lines: &str) -> String {
     let members: Vec<String> = registry
         .members
@@ -78,7 +77,7 @@
     )
 }
 
-/// Requests of one of the services, so many a second. `run` is a prefix of their ids.
+/// A workload for one of the services, with `rate` requests per second. The ids of its requests begin with `run`.
 pub fn workload(run: &str, service: &str, rate: f64) -> Workload {
     Workload {
         name: format!("{run}-{service}"),
