--- a/crates/testbed/examples/reload/latencies.rs
+++ b/crates/testbed/examples/reload/latencies.rs
@@ -1,4 +1,4 @@
-//! The load on the node, and its latencies. Called by `main` for each window of time.
+//! The load on the node, and its latencies. Called by `main` for each window.
 
 use super::{settings, LOADED_SERVICES};
 use hdrhistogram::Histogram;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The length of a window.
+/// The duration of the load of a window.
 const WINDOW: Duration = Duration::from_secs(1);
 const WARM_UP: Duration = Duration::from_secs(2);
 const WARM_UP_SEED: u64 = 1;
@@ -25,7 +25,7 @@
 }
 
 impl Latencies {
-    /// How much longer these are than others.
+    /// The differences of these latencies from `other`; positive where these are longer.
     pub(super) fn minus(self, other: Latencies) -> Latencies {
         Latencies {
             p50_ms: self.p50_ms - other.p50_ms,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The requests of several windows.
+/// Counts and latencies of the requests of several windows.
 pub(super) struct WindowStats {
     sent: u64,
     served: u64,
@@ -81,12 +81,12 @@
     }
 }
 
-/// Sends requests that count for nothing: the first ones open connections, and the balancer learns from them.
+/// Sends requests that are not measured: the first ones open connections, and the balancer learns from them.
 pub(super) async fn warm_up(address: SocketAddr, rate: f64) {
     load::run(address, &workloads(rate, "warm"), WARM_UP, WARM_UP_SEED).await;
 }
 
-/// Runs the load of one window. Windows with the same number have the same times of requests.
+/// Runs the load of one window. Windows with the same number send their requests at the same offsets.
 pub(super) async fn run_window(
     address: SocketAddr,
     rate: f64,
--- a/crates/testbed/examples/reload/main.rs
+++ b/crates/testbed/examples/reload/main.rs
@@ -1,16 +1,16 @@
-//! What clients notice of reloads of a large settings file.
+//! Measures how reloads of a large settings file affect the latency of requests.
 //!
-//! Sends requests at a steady rate through a node, a second without a reload and a second with one in turn, and prints the
-//! latencies of both and what the reloads add: as JSON, and as a line.
+//! Sends requests at a steady rate through a node, alternately for a second without a reload and a second with one, and
+//! prints the latencies of both and their difference, as JSON and as a summary line.
 //!
-//! Without load it then measures the processor time that a reload takes on the serving thread. The thread is blocked for no
-//! longer, and other work on the machine disturbs this figure less than latencies.
+//! Then measures the CPU time that a reload takes on the serving thread of a node without load. This is the longest time for
+//! which a reload can block the thread, and other work on the machine disturbs it less than latencies.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `settings` | large settings files |
 //! | `latencies` | the load, and its latencies |
-//! | `serving_thread` | the processor time of reloads on the serving thread |
+//! | `serving_thread` | the CPU time of reloads on the serving thread |
 //! | `report` | the printed results |
 
 mod latencies;
@@ -28,37 +28,37 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Services that requests are sent to.
+/// Number of services that requests are sent to.
 const LOADED_SERVICES: usize = 3;
 const SERVERS_PER_SERVICE: usize = 3;
 /// More workers than requests in flight, so that no request waits for another.
 const WORKERS: usize = 64;
 const SERVICE_TIME: Duration = Duration::from_millis(2);
-/// The time of a reload after the begin of its window.
+/// How long after the start of its window a reload begins.
 const RELOAD_DELAY: Duration = Duration::from_millis(200);
 
-/// Measures what requests see of reloads of a large settings file.
+/// Measures how reloads of a large settings file affect the latency of requests.
 #[derive(Parser)]
 struct Arguments {
-    /// The node's program.
+    /// The program of the node.
     #[arg(long)]
     program: PathBuf,
-    /// Services in the file.
+    /// Number of services in the file.
     #[arg(long, default_value_t = 130)]
     services: usize,
-    /// Servers in the file.
+    /// Number of servers in the file.
     #[arg(long, default_value_t = 2500)]
     servers: usize,
-    /// Routes in the file.
+    /// Number of routes in the file.
     #[arg(long, default_value_t = 3700)]
     routes: usize,
-    /// Lines of servers in the services' lists.
+    /// Number of entries in the server lists of all services; a server may be in several.
     #[arg(long, default_value_t = 5600)]
     listed: usize,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 300.0)]
     rate: f64,
-    /// Reloads, each with one changed route.
+    /// Number of reloads under load, and again without load; each changes one route.
     #[arg(long, default_value_t = 10)]
     reloads: usize,
 }
@@ -114,7 +114,7 @@
     Ok(())
 }
 
-/// The servers of the loaded services.
+/// Starts the servers of the services that requests are sent to.
 async fn start_pools() -> Result<Vec<Pool>> {
     let mut pools = Vec::new();
     for service in 0..LOADED_SERVICES {
@@ -129,7 +129,7 @@
     Ok(pools)
 }
 
-/// Reloads a file after a delay and waits until it is applied. Returns how long that took.
+/// After `RELOAD_DELAY`, reloads the node with these settings; returns the time until they are applied.
 async fn reload(node: &mut Node, settings: &str) -> Result<Duration> {
     tokio::time::sleep(RELOAD_DELAY).await;
     let started_at = Instant::now();
--- a/crates/testbed/examples/reload/report.rs
+++ b/crates/testbed/examples/reload/report.rs
@@ -7,15 +7,15 @@
 /// The results of all measurements.
 pub(super) struct Report {
     pub(super) size: FileSize,
-    /// The length of the settings file.
+    /// The size of the settings file in bytes.
     pub(super) file_bytes: usize,
     /// Requests per second.
     pub(super) rate: f64,
     pub(super) without_reload: WindowStats,
     pub(super) with_reload: WindowStats,
-    /// The times of reloads until the file was applied, sorted.
+    /// The time of each reload until the file was applied, in ascending order.
     pub(super) applied_after_ms: Vec<f64>,
-    /// The processor times of reloads on the serving thread, sorted.
+    /// The CPU time of each reload on the serving thread, in ascending order.
     pub(super) serving_thread_ms: Vec<f64>,
 }
 
@@ -77,12 +77,12 @@
     }
 }
 
-/// The median of sorted values; 0 of none.
+/// The median of sorted values; 0 if there are none.
 fn median(sorted: &[f64]) -> f64 {
     sorted.get(sorted.len() / 2).copied().unwrap_or_default()
 }
 
-/// The last of sorted values; 0 of none.
+/// The last of sorted values; 0 if there are none.
 fn maximum(sorted: &[f64]) -> f64 {
     sorted.last().copied().unwrap_or_default()
 }
--- a/crates/testbed/examples/reload/serving_thread.rs
+++ b/crates/testbed/examples/reload/serving_thread.rs
@@ -1,4 +1,4 @@
-//! The processor time that reloads take on the serving thread. Called by `main` after the load.
+//! The CPU time that reloads take on the serving thread. Called by `main` after the load.
 
 use super::reload;
 use reelfall_testbed::node::Node;
@@ -10,12 +10,12 @@
 const NS_PER_SECOND: f64 = 1e9;
 const MS_PER_SECOND: f64 = 1e3;
 
-/// The kernel's file of the thread's times is empty.
+/// The `schedstat` file of the serving thread is empty.
 #[derive(Debug, thiserror::Error)]
-#[error("no times of the thread")]
+#[error("the schedstat file of the serving thread is empty")]
 struct NoThreadTimes;
 
-/// The processor time of each reload without load beyond that of an idle node, in milliseconds and sorted.
+/// The CPU time of each reload without load, less that of an idle node, in milliseconds and ascending order.
 pub(super) async fn measure(
     node: &mut Node,
     files: impl Iterator<Item = String>,
@@ -36,7 +36,7 @@
     Ok(reload_ms)
 }
 
-/// Time and processor time of the serving thread since a start.
+/// Elapsed time and CPU time of the serving thread since `start`.
 struct Stopwatch {
     pid: u32,
     started_at: Instant,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Processor time of the serving thread, which is the first of the process, in seconds.
+/// CPU time of the serving thread, which is the first thread of the process, in seconds.
 fn serving_thread_seconds(pid: u32) -> Result<f64> {
     let times = std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/schedstat"))?;
     let nanoseconds: u64 = times
--- a/crates/testbed/examples/reload/settings.rs
+++ b/crates/testbed/examples/reload/settings.rs
@@ -3,19 +3,19 @@
 /// The size of a file.
 #[derive(Clone, Copy, Debug)]
 pub struct FileSize {
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Servers, over all services.
+    /// Number of servers of all services.
     pub servers: usize,
-    /// Routes, over all services.
+    /// Number of routes of all services.
     pub routes: usize,
-    /// Lines of servers in the services' lists; a server may be in several.
+    /// Number of entries in the server lists of all services; a server may be in several.
     pub listed: usize,
 }
 
-/// The begin of every file: one listener, at any free port.
+/// The beginning of every file: one listener, at any free port.
 pub const HEAD: &str = "[[listener]]\nname = \"client\"\naddress = \"127.0.0.1:0\"\n";
-/// Addresses of the last byte that are used: 1 to 250.
+/// Number of addresses that are used in each subnet; their last bytes are 1 to 250.
 const SERVERS_PER_SUBNET: usize = 250;
 
 /// A path that every service but the last one serves in every revision of a file.
@@ -26,8 +26,8 @@
     format!("service-{service}.example.org")
 }
 
-/// A settings file. The first services have the servers of `loaded_servers`, the others addresses without servers. Two
-/// revisions differ in the last route alone.
+/// A settings file. The first services have the servers of `loaded_servers`, the others have addresses that nothing listens
+/// on. Two revisions differ only in the last route.
 pub fn text(size: &FileSize, loaded_servers: &[String], revision: usize) -> String {
     let mut text = HEAD.to_owned();
     for service in 0..size.services {
@@ -46,7 +46,7 @@
     text
 }
 
-/// The routes of a service: all routes are dealt out to the services one by one.
+/// The routes of a service: all routes are assigned to the services round-robin.
 fn routes(size: &FileSize, service: usize) -> impl Iterator<Item = usize> {
     (service..size.routes).step_by(size.services.max(1))
 }
@@ -71,7 +71,7 @@
     (first_line(service)..first_line(service + 1)).map(move |line| line % servers)
 }
 
-/// An address without a server: no request is sent there.
+/// The section of a server at an address that nothing listens on; no request is sent to it.
 fn unreachable_server(server: usize) -> String {
     let subnet = server / SERVERS_PER_SUBNET;
     let address = server % SERVERS_PER_SUBNET + 1;
