--- a/crates/testbed/tests/node/connections.rs
+++ b/crates/testbed/tests/node/connections.rs
@@ -18,7 +18,7 @@
             .write_all(read_request(&format!("g-{n}")).as_bytes())
             .unwrap();
         if read_response(&active).is_none() {
-            // Its connection may be closed while it is idle, but a new one is accepted.
+            // The node may close an idle connection, but then accepts a new one.
             active = connect(node.address);
         }
         assert_eq!(get(node.address, &format!("n-{n}")).status, 200);
@@ -27,15 +27,16 @@
         assert_eq!(
             read_response(silent),
             None,
-            "a silent connection gets a response"
+            "a silent connection got a response"
         );
     }
 }
 
 const CLIENTS: usize = 8;
 const REQUESTS_PER_CLIENT: usize = 10;
-/// Allows six connections to servers and ten of clients: the clients wait for the former, and none of them is closed to
-/// admit another. Each reuses one connection, as closed ones may still be counted.
+/// Allows six connections to servers and ten connections of clients: the clients wait for connections to servers, and none of
+/// the clients is disconnected to admit another. Each client reuses one connection, because the node may still count closed
+/// ones.
 const SCARCE_SOCKETS: usize = 40;
 
 /// Sends all requests of a client on one connection; returns the statuses.
--- a/crates/testbed/tests/node/discovery.rs
+++ b/crates/testbed/tests/node/discovery.rs
@@ -11,7 +11,7 @@
         40,
         &[ListedServer::new("s-1", first_server.address, "active")],
     );
-    // The new service counts its versions from the start, and lists another server.
+    // The new discovery service has its own, lower version numbers and lists another server.
     new_discovery.send_snapshot(
         3,
         &[ListedServer::new("s-2", second_server.address, "active")],
@@ -40,7 +40,7 @@
     let (server, other_server) = (Server::healthy(), Server::healthy());
     let Fixture { node, discovery } = &Fixture::start(&server);
     assert_eq!(get(node.address, "a-1").status, 200);
-    // s-1 is still listed when the server that replaced it at its address is draining in turn.
+    // s-1 stays listed while n-1, which replaced it at the same address, starts to drain.
     discovery.send_delta(2, &[ListedServer::new("n-1", server.address, "active")]);
     discovery.send_delta(
         3,
@@ -62,6 +62,6 @@
     assert_eq!(
         server.requests(),
         requests_before,
-        "a draining server gets requests under its old name"
+        "a draining server got requests under its old name"
     );
 }
--- a/crates/testbed/tests/node/fixtures.rs
+++ b/crates/testbed/tests/node/fixtures.rs
@@ -2,7 +2,7 @@
 
 use reelfall_testbed::scripted::{Discovery, ListedServer, Node, Program, Response, Server};
 
-/// Sockets that a node may open if its test does not exhaust them.
+/// Number of sockets that a node may open in tests that don't exhaust them.
 pub const MAX_SOCKETS: usize = 256;
 
 pub fn program() -> Program {
--- a/crates/testbed/tests/node/requests.rs
+++ b/crates/testbed/tests/node/requests.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-/// Time in which the node closes the connections of three incomplete requests, one after the other.
+/// Longest time that the node may take to close the connections of three incomplete requests, which are sent in sequence.
 const MAX_TIME_FOR_INCOMPLETE_REQUESTS: Duration = Duration::from_secs(15);
 
 /// Requests that no server may receive.
@@ -84,7 +84,7 @@
     }
     assert!(
         started.elapsed() < MAX_TIME_FOR_INCOMPLETE_REQUESTS,
-        "an incomplete request keeps its connection open"
+        "an incomplete request kept its connection open"
     );
     assert_eq!(
         (get(node.address, "g-1").status, server.requests()),
--- a/crates/testbed/tests/node/responses.rs
+++ b/crates/testbed/tests/node/responses.rs
@@ -37,7 +37,7 @@
     for malformed in MALFORMED_RESPONSES {
         let server = start_server_with_malformed_response(malformed);
         let Fixture { node, .. } = &Fixture::start(&server);
-        // A request that may have run fails: it is neither reported as rejected nor retried.
+        // The request may have taken effect, so that it must not be reported as rejected or be retried.
         let write = write_request("w-1", "content-length: 1", "x");
         let response = exchange(node.address, write.as_bytes());
         let failed = response.as_ref().is_none_or(|response| {
@@ -48,7 +48,7 @@
             "{response:?} to {:?}",
             String::from_utf8_lossy(malformed)
         );
-        // The connection is not reused: the next request gets a connection and a response of its own.
+        // The connection is not reused: the next request is sent on a new connection and gets its own response.
         assert_eq!(get(node.address, "r-1"), ok("r-1"));
     }
 }
--- a/crates/testbed/tests/node/shutdown.rs
+++ b/crates/testbed/tests/node/shutdown.rs
@@ -29,7 +29,7 @@
     release.wait();
     let response = read_response(&client);
     assert_eq!(response.map(|response| response.status), Some(200));
-    assert!(node.wait(), "the program ends with a failure");
+    assert!(node.wait(), "the process exited with a failure");
 }
 
 #[test]
@@ -47,12 +47,12 @@
         .unwrap();
     arrived.wait();
     node.signal("TERM");
-    // Connections are accepted for a short time; then the listener is closed, though a client is still connected.
+    // The node accepts connections for a short time, then closes the listener although a client is still connected.
     let started = Instant::now();
     while TcpStream::connect(node.address).is_ok() {
         assert!(
             started.elapsed() < MAX_TIME_TO_CLOSED_LISTENER,
-            "a node that shuts down lets clients connect and wait"
+            "a node that is shutting down still accepts connections"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
