--- a/crates/testbed/tests/operations/bans.rs
+++ b/crates/testbed/tests/operations/bans.rs
@@ -42,7 +42,7 @@
         requests_before,
         "a banned server got a request"
     );
-    // With all servers banned, requests are rejected and run nowhere.
+    // With all servers banned, requests are rejected and not forwarded.
     assert_eq!(
         call_management(node.management, "POST", "/-/servers/s-b/disable"),
         200
@@ -73,7 +73,8 @@
     let only_b = [ListedServer::new("s-b", fixture.server_b.address, "active")];
     fixture.discovery.send_snapshot(2, &only_b);
     let successor = fixture.node.start_successor(&program());
-    // The ban is repeated at the new process and applies in the old one too; the name is known though it is unlisted now.
+    // The ban is repeated through the new process and applies in the old one too; the server's name is known although it is no
+    // longer listed.
     assert_eq!(
         call_management(successor.management, "POST", "/-/servers/s-a/disable"),
         200
--- a/crates/testbed/tests/operations/client_load.rs
+++ b/crates/testbed/tests/operations/client_load.rs
@@ -1,4 +1,4 @@
-//! Concurrent clients that count the requests that were lost.
+//! Concurrent clients that count lost requests.
 
 use reelfall_testbed::scripted::{read_request, read_response, Response, WAIT_TIMEOUT};
 use std::io::Write;
@@ -10,13 +10,13 @@
 
 /// One in this many clients opens a connection for each request.
 const RECONNECTING_CLIENT_STEP: usize = 3;
-/// Pauses between requests are 0 ms up to below this number, by the client.
+/// Client `n` pauses for `n` modulo this number of milliseconds between requests.
 const PAUSE_STEPS_MS: usize = 7;
 
 /// Clients that each send requests in sequence until the load is stopped.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    /// Number of requests that have ended, of all clients.
+    /// Number of requests of all clients that have ended.
     ended: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<LoadReport>>,
 }
@@ -26,7 +26,7 @@
 pub struct LoadReport {
     /// Number of requests.
     pub requests: usize,
-    /// Those that were not served.
+    /// The requests that were not served.
     pub lost: Vec<LostRequest>,
 }
 
@@ -51,8 +51,8 @@
 }
 
 impl Load {
-    /// Every third client connects anew for each request; the others reuse their connections, and pause between requests
-    /// so that some are idle at any time.
+    /// Starts the clients. Every third one opens a connection for each request; the others reuse their connections. Their
+    /// pauses between requests differ, so that some connections are idle at any time.
     pub fn start(node: SocketAddr, clients: usize) -> Load {
         let (stop, ended) = (Arc::new(AtomicBool::new(false)), Arc::default());
         let start_client = |client| {
@@ -78,7 +78,7 @@
         let mut connection: Option<TcpStream> = None;
         while !stop.load(Ordering::SeqCst) {
             let id = format!("l-{client}-{}", report.requests);
-            // A connection that is not reused is closed once the next one is open.
+            // A connection that is not reused is closed when the next one has been opened.
             let opened = match connection.take() {
                 Some(stream) if reuses_connection => Ok(stream),
                 _ => TcpStream::connect(node).map_err(RequestError::Connect),
@@ -108,7 +108,10 @@
     pub fn wait_for_more_than(&self, requests: usize) {
         let started = Instant::now();
         while self.ended.load(Ordering::SeqCst) <= requests {
-            assert!(started.elapsed() < WAIT_TIMEOUT, "the load has stopped");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "the clients made no progress"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/testbed/tests/operations/drain.rs
+++ b/crates/testbed/tests/operations/drain.rs
@@ -1,4 +1,4 @@
-//! Drains of a node.
+//! Draining a node and resuming it.
 
 use crate::fixtures::{health_status, ok, program, send, Fixture, MAX_SOCKETS};
 use reelfall_testbed::scripted::{
@@ -21,14 +21,14 @@
     let idle = connect(node.address);
     assert_eq!(call_management(node.management, "POST", "/-/drain"), 200);
     assert_eq!(health_status(node.address), Some(503));
-    // A request on an open connection is still served, and its response ends the connection.
+    // A request on an open connection is still served, and the node closes the connection after the response.
     assert_eq!(send(&mut used, "d-2"), ok("d-2"));
     assert_eq!(read_response(&used), None);
     let started = Instant::now();
     assert_eq!(read_response(&idle), None);
     assert!(
         started.elapsed() < MAX_IDLE_DURING_DRAIN,
-        "an idle connection outlives the drain timeout"
+        "an idle connection stayed open past the drain timeout"
     );
     assert_eq!(call_management(node.management, "GET", "/-/ready"), 200);
     for path in ["/-/resume", "/-/drain", "/-/resume"] {
--- a/crates/testbed/tests/operations/fixtures.rs
+++ b/crates/testbed/tests/operations/fixtures.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// Sockets that a node of these tests may open.
+/// Number of sockets that a node of these tests may open.
 pub const MAX_SOCKETS: usize = 256;
 
 pub fn program() -> Program {
@@ -59,7 +59,7 @@
 pub fn send_until_server_is_used(node: &Node, server: &Server) {
     let (requests_before, started) = (server.requests(), Instant::now());
     for n in 0.. {
-        // A server that is warming up is sent little, and a request that finds no other server is rejected.
+        // A server in slow start gets few requests; a request that finds no other server is rejected.
         assert!(matches!(
             get(node.address, &format!("u-{n}")).status,
             200 | 503
@@ -67,7 +67,10 @@
         if server.requests() > requests_before {
             return;
         }
-        assert!(started.elapsed() < WAIT_TIMEOUT, "a server stays unused");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "the server received no request"
+        );
     }
 }
 
--- a/crates/testbed/tests/operations/main.rs
+++ b/crates/testbed/tests/operations/main.rs
@@ -6,7 +6,7 @@
 //! | `client_load` | concurrent clients that count lost requests |
 //! | `management` | tests: management requests and the command line |
 //! | `bans` | tests: manual bans of servers |
-//! | `drain` | tests: drains |
+//! | `drain` | tests: draining and resuming a node |
 //! | `upgrade` | tests: upgrades, in which a successor takes over connections |
 
 mod bans;
--- a/crates/testbed/tests/operations/management.rs
+++ b/crates/testbed/tests/operations/management.rs
@@ -87,10 +87,10 @@
         assert_eq!(call_management(node.management, "GET", "/-/ready"), 200);
         assert!(
             sent.elapsed() < Duration::from_secs(1),
-            "a management request is delayed by silent connections"
+            "silent connections delayed a management request"
         );
     }
-    // At most sixteen are served at the same time: the first one was closed to admit the others.
+    // The node serves at most sixteen management connections at a time: it has closed the first one to admit later ones.
     let sent = Instant::now();
     let _ = read_response(&silent_connections[0]);
     assert!(
--- a/crates/testbed/tests/operations/upgrade.rs
+++ b/crates/testbed/tests/operations/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a successor at the same address takes over the connections of the process before it.
+//! Upgrades: a successor at the same address takes over the connections of its predecessor.
 
 use crate::client_load::{Load, LoadReport};
 use crate::fixtures::{ok, program, send, send_until_server_is_used, Fixture};
@@ -9,7 +9,7 @@
 
 const UPGRADES: usize = 20;
 const KILLED_SUCCESSORS: u32 = 6;
-/// Each successor is killed later than the one before it by this time.
+/// Each successor is killed this much later after its start than the previous one.
 const KILL_DELAY_STEP: Duration = Duration::from_millis(15);
 const PAUSE_AFTER_KILL: Duration = Duration::from_millis(50);
 const MIN_REQUESTS_UNDER_KILLS: usize = 100;
@@ -26,7 +26,7 @@
     for _ in 0..UPGRADES {
         let successor = fixture.node.start_successor(&program());
         fixture.node.signal("TERM");
-        assert!(fixture.node.wait(), "the old process ends with a failure");
+        assert!(fixture.node.wait(), "the old process exited with a failure");
         fixture.node = successor;
     }
     let LoadReport { requests, lost } = load.stop();
@@ -38,7 +38,7 @@
     assert_eq!(
         fixture.server_a.requests(),
         requests_before,
-        "a ban does not outlive an upgrade"
+        "a banned server got requests after an upgrade"
     );
     assert_eq!(
         call_management(fixture.node.management, "POST", "/-/servers/s-a/enable"),
@@ -61,11 +61,11 @@
     }
     load.wait_for_more_than(MIN_REQUESTS_UNDER_KILLS);
     let LoadReport { requests, lost } = load.stop();
-    // The connections that a successor had accepted end with it; the old process accepts the next ones.
+    // Connections that a successor accepted are lost when it is killed; the old process accepts the next ones.
     let max_lost = CLIENTS * KILLED_SUCCESSORS as usize;
     assert!(
         requests > MIN_REQUESTS_UNDER_KILLS && lost.len() <= max_lost,
-        "{} of {requests}: {lost:?}",
+        "{} of {requests} requests were lost: {lost:?}",
         lost.len()
     );
     for n in 0..20 {
@@ -78,7 +78,7 @@
     let mut fixture = Fixture::start();
     let mut first_successor = fixture.node.start_successor(&program());
     first_successor.kill();
-    // The old process serves this connection: there is no other.
+    // Only the old process is left to serve this connection.
     let mut connection = connect(fixture.node.address);
     assert_eq!(send(&mut connection, "before"), ok("before"));
     let _second_successor = fixture.node.start_successor(&program());
@@ -101,7 +101,11 @@
     fixture.node.signal("TERM");
     assert!(fixture.node.wait());
     let LoadReport { requests, lost } = load.stop();
-    assert!(lost.is_empty(), "{} of {requests}: {lost:?}", lost.len());
+    assert!(
+        lost.is_empty(),
+        "{} of {requests} requests were lost: {lost:?}",
+        lost.len()
+    );
     // The socket file that a killed process leaves behind does not prevent the next upgrade.
     fixture.node = successor;
     fixture.node.kill();
