--- a/crates/testbed/tests/reload/availability.rs
+++ b/crates/testbed/tests/reload/availability.rs
@@ -9,14 +9,14 @@
 use reelfall_testbed::client::Client;
 use reelfall_testbed::node::Node;
 
-/// A file whose validation takes the program of a test some time.
+/// A file that is so large that a debug build takes some time to validate it.
 const LARGE_FILE: FileSize = FileSize {
     services: 130,
     servers: 2500,
     routes: 3700,
     listed: 5600,
 };
-/// Fewest sequential responses in that time; a validation on the serving thread would allow none.
+/// Minimum number of sequential responses while the file is validated; there would be none if the serving thread did it.
 const MIN_RESPONSES_DURING_VALIDATION: usize = 10;
 const REQUESTS_PER_READ: usize = 100;
 
--- a/crates/testbed/tests/reload/client_loop.rs
+++ b/crates/testbed/tests/reload/client_loop.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// A client that sends its next request as soon as it has a response; each response has to be a 200.
+/// A client that sends its next request as soon as it has a response; each response must have status 200.
 pub struct ClientLoop {
     responses: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
@@ -57,9 +57,9 @@
         within_timeout("further responses", target_reached).await;
     }
 
-    /// Ends the loop, and panics if a response was not a 200.
+    /// Stops the loop, and panics if a response did not have status 200 and the body of its request.
     pub async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.task.await.expect("a response was not a 200");
+        self.task.await.expect("a response was wrong");
     }
 }
--- a/crates/testbed/tests/reload/consistency.rs
+++ b/crates/testbed/tests/reload/consistency.rs
@@ -1,4 +1,4 @@
-//! A reload leaves unchanged services alone, and changes take effect atomically.
+//! A reload keeps the connections of unchanged services, and applies all changes atomically.
 
 use crate::fixtures::{
     get, server_section, service_section, start_healthy_server, start_node, within_timeout,
@@ -17,7 +17,7 @@
 const REQUESTS_PER_RELOAD: usize = 5;
 const SWAPPING_RELOADS: usize = 20;
 
-/// What a reload changes in a service that is not under observation.
+/// A change to the service whose connections are not checked.
 struct ServiceChange {
     paths: &'static [&'static str],
     extra_setting: &'static str,
@@ -42,7 +42,7 @@
     },
 ];
 
-/// The addresses of the peers of a server, one for each connection.
+/// The peer addresses of the connections to a server; each connection has a different one.
 type PeerAddresses = Arc<Mutex<HashSet<SocketAddr>>>;
 
 fn start_server_with_recorded_peers(peers: &PeerAddresses) -> scripted::Server {
@@ -110,7 +110,7 @@
     ]
 }
 
-/// A client that sends requests to both hosts in turn, and counts how often they are found swapped.
+/// A client that alternates between both hosts and counts how often their routes are swapped.
 struct SwapObserver {
     swaps: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
@@ -132,7 +132,7 @@
             if stop.load(Ordering::SeqCst) {
                 break;
             }
-            // If one host is routed by the new file, the other has to be too.
+            // As soon as one host is routed by the new file, the other one must be as well.
             let host = ["a", "b"][n % 2];
             let hostname = format!("{host}.example.org");
             let response = get(&client, &hostname, "/", &format!("swap-{n}")).await;
@@ -166,8 +166,8 @@
     }
 }
 
-/// Fails if one host is routed by the old file for 5 ms longer than the other. A mixture that lasts for one iteration of
-/// the node's event loop is shorter than a request and its response, and no sequential client can observe it.
+/// Fails if one host is routed by the old file for 5 ms longer than the other. A mixture of both files that lasts for one
+/// iteration of the node's event loop is shorter than a request and its response, so that no sequential client can observe it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn reload_swaps_routes_atomically() {
     let (one, two) = (start_server_with_body("1"), start_server_with_body("2"));
@@ -178,6 +178,6 @@
         node.reload(&files[reload % 2]).await.unwrap();
         observer.wait_for_swaps(reload).await;
     }
-    // A mixture would have been counted as two more swaps.
+    // A mixture of both files would have been counted as two more swaps.
     assert_eq!(observer.stop().await, SWAPPING_RELOADS);
 }
--- a/crates/testbed/tests/reload/fixtures.rs
+++ b/crates/testbed/tests/reload/fixtures.rs
@@ -12,11 +12,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Requests that a server processes concurrently.
+/// Number of requests that a server processes concurrently.
 const SERVER_WORKERS: usize = 64;
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 const SERVER_SEED: u64 = 1;
-/// Pause between two looks at a condition.
+/// Pause between two checks of a condition.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 pub fn program() -> Program {
--- a/crates/testbed/tests/reload/invalid_file.rs
+++ b/crates/testbed/tests/reload/invalid_file.rs
@@ -42,7 +42,7 @@
         let response = get(&client, "wrong.example.org", "/", &format!("wrong-{n}")).await;
         assert_eq!(
             response.status, 404,
-            "an invalid file is in force: {invalid}"
+            "an invalid file was applied: {invalid}"
         );
         client_loop.wait_for_responses(5).await;
     }
--- a/crates/testbed/tests/reload/pending_read.rs
+++ b/crates/testbed/tests/reload/pending_read.rs
@@ -1,7 +1,7 @@
 //! A read of the settings file that lasts until a test completes it.
 //!
-//! A FIFO takes the place of the file: the node has begun to read once the FIFO can be opened for writing, and reads until
-//! the writer closes it.
+//! A FIFO replaces the file: opening it for writing blocks until the node has begun to read, and the read lasts until the
+//! writer closes it.
 
 use crate::fixtures::within_timeout;
 use reelfall_testbed::node::Node;
@@ -24,7 +24,7 @@
         PendingRead::open(settings_file).await
     }
 
-    /// Opens the FIFO that is in the place of the settings file, which waits for its reader.
+    /// Opens the FIFO that has replaced the settings file; waits until the node reads it.
     async fn open(settings_file: PathBuf) -> PendingRead {
         let path = settings_file.clone();
         let fifo_writer = run_blocking("the node reads its file", move || {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Completes this read with `settings`. The node reads a second time to verify that the file was complete: returns
-    /// that read, which is pending too.
+    /// Completes this read with `settings`. The node then reads the file again to verify that it was complete; returns that
+    /// second read, which is pending too.
     pub async fn complete_and_hold_verification(self, settings: &str) -> PendingRead {
         let settings_file = self.settings_file.clone();
         std::fs::rename(make_fifo(&settings_file, "second"), &settings_file).unwrap();
@@ -56,7 +56,7 @@
 
     async fn write(mut self, settings: &str) {
         let settings = settings.to_owned();
-        run_blocking("the node reads on", move || {
+        run_blocking("the node reads the rest of its file", move || {
             self.fifo_writer.write_all(settings.as_bytes())
         })
         .await
@@ -75,7 +75,7 @@
     path
 }
 
-/// Runs blocking code on a thread that a failed test does not wait for.
+/// Runs blocking code on a separate thread, which a failed test doesn't wait for.
 async fn run_blocking<T: Send + 'static>(
     description: &str,
     run: impl FnOnce() -> T + Send + 'static,
--- a/crates/testbed/tests/reload/shutdown.rs
+++ b/crates/testbed/tests/reload/shutdown.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Pauses the server and sends a request, which is in flight at the server when this returns.
+/// Pauses the server and sends a request; returns once the server has received it.
 async fn send_to_paused_server(node: &Node, server: &Server) -> JoinHandle<ClientResponse> {
     set_paused(server, true);
     let address = node.address();
@@ -87,14 +87,15 @@
     assert!(node.wait_for_exit().await.unwrap());
 }
 
-/// The deadline of a request that must be answered before its process ends.
+/// The deadline of a request that must be answered before the process exits.
 const SHORT_DEADLINE: Duration = Duration::from_secs(1);
-/// SIGKILL follows this long after SIGTERM and the longest deadline, at the earliest.
+/// SIGKILL is sent at the earliest this long after SIGTERM plus the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// A request that is written so long after SIGTERM has a later deadline than its process.
+/// How long after SIGTERM a request is completed, so that its deadline is after the exit of the process.
 const LATE_REQUEST_TIME: Duration = Duration::from_millis(800);
 
-/// Writes a request of which the last byte comes late in a shutdown, to a server that hangs; returns all that is read.
+/// Sends a request whose last byte is written late in a shutdown, while its server is paused; returns everything that the
+/// node sends until it closes the connection.
 async fn write_late_request(host: &str, body: &str, settings: &str, server: &Server) -> String {
     let mut node = start_node(settings).await;
     set_paused(server, true);
@@ -111,14 +112,18 @@
     tokio::time::sleep_until((terminated_at + LATE_REQUEST_TIME).into()).await;
     client.write_all(last_byte.as_bytes()).await.unwrap();
     let mut response = String::new();
-    let read = within_timeout("the end", client.read_to_string(&mut response)).await;
+    let read = within_timeout(
+        "the end of the connection",
+        client.read_to_string(&mut response),
+    )
+    .await;
     assert!(read.is_ok(), "{read:?}");
     assert!(node.wait_for_exit().await.unwrap());
     assert!(terminated_at.elapsed() < SHORT_DEADLINE + KILL_MARGIN);
     response
 }
 
-/// Guards against requests that end with the process, without an answer.
+/// Guards against requests that are not answered because the process exits before their deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn request_that_outlives_the_process_is_answered() {
     let server = start_healthy_server("s").await;
@@ -129,7 +134,7 @@
     assert!(response.starts_with("HTTP/1.1 504"), "{response:?}");
 }
 
-/// The same for an operation and a batch, whose answers are awaited elsewhere.
+/// The same for a GraphQL operation and a GraphQL batch, whose responses are awaited by other code.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn graphql_request_that_outlives_the_process_is_answered() {
     let mutation = r#"{"query":"mutation { toggle }"}"#;
--- a/crates/testbed/tests/reload/signals.rs
+++ b/crates/testbed/tests/reload/signals.rs
@@ -25,7 +25,7 @@
     node.wait_for_log("is in force").await.unwrap();
     assert_eq!(get_status(&client, "/n2", "after").await, 200);
     assert_eq!(get_status(&client, "/n1", "gone").await, 404);
-    // A third reload would be logged before the end of this one.
+    // If the signals had caused a third reload, it would be logged before this one ends.
     let read = PendingRead::start(&node).await;
     read.complete(&settings_with("/n3"), &settings_with("/n3"))
         .await;
