--- a/crates/testbed/tests/services/draining.rs
+++ b/crates/testbed/tests/services/draining.rs
@@ -35,7 +35,7 @@
     {
         assert!(
             updated_at.elapsed() < WAIT_TIMEOUT,
-            "the server does not drain"
+            "the server is not draining"
         );
     }
     let received_before = shared_server.requests_received();
@@ -46,18 +46,18 @@
     assert_eq!(
         shared_server.requests_received(),
         received_before,
-        "a server that drains by another list got new requests"
+        "a server that another service's list marks as draining got new requests"
     );
 }
 
-/// Sends requests to service `b` until this server has received one. A server whose first response was slow gets none for a
-/// moment.
+/// Sends requests to service `b` until this server has received one. The node may briefly avoid a server whose first
+/// response was slow.
 async fn wait_until_used(client: &Client, server: &Server) {
     let started_at = Instant::now();
     while server.requests_received() == 0 {
         assert!(
             started_at.elapsed() < WAIT_TIMEOUT,
-            "the server is never used"
+            "the server received no request"
         );
         let response = get(client, "b", &unique_id("before", started_at)).await;
         assert_eq!(response.status, 200);
@@ -89,7 +89,7 @@
         assert_eq!(
             response.headers.contains_key("retry-after"),
             !change.is_available,
-            "only a rejection has Retry-After"
+            "exactly the rejections must have Retry-After"
         );
         assert_eq!(health_status(&client, "/_health/a").await, expected_status);
         assert_eq!(health_status(&client, "/_health").await, change.node_health);
@@ -125,8 +125,8 @@
     [without_servers, draining, restored]
 }
 
-/// Sends a request to service `a`. If the service is available, waits for a success: a server that has been restored is
-/// warming up, and may get no request at first.
+/// Sends a request to service `a`. If the service is available, repeats it until it succeeds: a server that has been added
+/// again is in slow start and may get no request at first.
 async fn get_after_change(client: &Client, round: usize, is_available: bool) -> ClientResponse {
     let mut response = get(client, "a", &format!("a-2{round}")).await;
     let started_at = Instant::now();
--- a/crates/testbed/tests/services/harness.rs
+++ b/crates/testbed/tests/services/harness.rs
@@ -1,4 +1,4 @@
-//! Nodes, servers and requests of these tests.
+//! Starts the nodes and servers of these tests, and sends requests.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,7 +10,7 @@
 use reelfall_testbed::scripted::Program;
 use std::time::{Duration, Instant};
 
-/// Longest wait for an event that takes a small part of it.
+/// Longest wait for an event; events normally take a small part of it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const FAST_SERVICE_TIME: Duration = Duration::from_millis(1);
@@ -73,7 +73,7 @@
         .expect("a response")
 }
 
-/// A correlation id that is unique among those with this prefix and start.
+/// A correlation id that is unique among those with the same `prefix` and `started_at`.
 pub fn unique_id(prefix: &str, started_at: Instant) -> String {
     format!("{prefix}-{}", started_at.elapsed().as_nanos())
 }
--- a/crates/testbed/tests/services/isolation.rs
+++ b/crates/testbed/tests/services/isolation.rs
@@ -42,17 +42,17 @@
     let node = start_node(&settings).await;
     let workloads = [workload("a", 40.0), workload("b", 40.0)];
     let stats = load::run(node.address(), &workloads, Duration::from_secs(2), 3).await;
-    // Without the bound, the server has dozens of connections.
+    // Without the limit, the server has dozens of connections.
     assert!(
         server.max_open_connections() <= MAX_CONNECTIONS,
-        "{} connections at once",
+        "the server had {} connections at once",
         server.max_open_connections()
     );
     for service_stats in &stats {
         assert_eq!(service_stats.lost, 0);
         assert!(
             service_stats.with_status(&[200]) > 0,
-            "a service gets no connection: {:?}",
+            "a service got no connection: {:?}",
             service_stats.statuses
         );
     }
@@ -100,7 +100,7 @@
     assert_eq!(answered, FLOOD_REQUESTS);
 }
 
-/// Sends many requests to service `a`, each on a connection of its own.
+/// Sends many requests to service `a`, each on its own connection.
 fn flood_with_requests(node_address: SocketAddr) -> JoinSet<StatusResult> {
     let mut flood = JoinSet::new();
     for number in 0..FLOOD_REQUESTS {
@@ -130,8 +130,8 @@
     let settings = format!("[process]\nmemory = \"16MiB\"\n{services}");
     let node = start_node(&settings).await;
     let address = node.address();
-    // Half of the memory is for bodies, and one MiB of it is reserved: 17 bodies of 400 KiB fill the rest, and the others
-    // are streamed as their server reads them.
+    // Half of the memory is for bodies, of which one MiB is reserved: 17 bodies of 400 KiB fill the rest, and the others are
+    // streamed as their server reads them.
     let mut flood = JoinSet::new();
     for number in 0..FLOOD_UPLOADS {
         flood.spawn(upload(address, "a", format!("a-{number}")));
@@ -150,7 +150,7 @@
     assert!(effect_counts.values().all(|count| *count == 1));
 }
 
-/// Sends a large request to a service on a connection of its own.
+/// Sends a large request to a service on its own connection; returns the status of the response.
 async fn upload(node_address: SocketAddr, service: &'static str, id: String) -> StatusResult {
     let request = Request::post("/api")
         .header("host", format!("{service}.example.org"))
--- a/crates/testbed/tests/services/reload.rs
+++ b/crates/testbed/tests/services/reload.rs
@@ -80,7 +80,7 @@
     {
         assert!(
             replaced_at.elapsed() < WAIT_TIMEOUT,
-            "the last file is not applied"
+            "the last file was not applied"
         );
     }
     assert_eq!(get(&client, "n59", "gone").await.status, 404);
@@ -153,7 +153,7 @@
         non_idempotent_service("a", "", &servers).replace("\"5s\"", &format!("\"{deadline}\""))
     };
     let service_b = idempotent_service("b", "", &server_sections(&[&other_server]));
-    // This service keeps the server known to the node, so that it does not warm up anew in each round.
+    // This service keeps the server known to the node, so that its slow start doesn't begin again in each round.
     let keeper = idempotent_service("keeper", "", &servers);
     let with_deadline =
         |deadline: &str| settings_file(&[&service_a(deadline), &service_b, &keeper]);
@@ -176,7 +176,7 @@
     }
     assert!(
         server.effect_counts().values().all(|count| *count == 1),
-        "a duplicate effect"
+        "a request took effect more than once"
     );
 }
 
@@ -198,7 +198,7 @@
     while server.requests_received() == received_before {
         assert!(
             started_at.elapsed() < WAIT_TIMEOUT,
-            "the request does not arrive"
+            "the server did not receive the request"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
--- a/crates/testbed/tests/services/retries.rs
+++ b/crates/testbed/tests/services/retries.rs
@@ -6,7 +6,7 @@
 use reelfall_testbed::pool::{Pool, ServerBehavior};
 use std::time::Duration;
 
-/// Statuses by which the node states that a request has not run.
+/// Statuses by which the node reports that a request took no effect.
 const REJECTION_STATUSES: [u16; 2] = [429, 503];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -37,7 +37,7 @@
             .map(|service_stats| service_stats.lost)
             .sum::<u64>(),
         0,
-        "a request without a response"
+        "a request was not answered"
     );
     let effect_counts = pool.effect_counts();
     let duplicates: Vec<_> = effect_counts
--- a/crates/testbed/tests/services/routing.rs
+++ b/crates/testbed/tests/services/routing.rs
@@ -125,7 +125,7 @@
     response.map_or(0, |response| response.status)
 }
 
-/// A service whose path `/w` is assigned to class `write`, while requests of the path `/any` state their class.
+/// A service whose route for `/w` assigns class `write`, while requests for `/any` state their class in a header.
 const SERVICE_WITH_TWO_CLASSES: &str = r#"[[service]]
 name = "a"
 [[service.class]]
@@ -146,7 +146,7 @@
 host = "a.example.org"
 path = "/any"
 "#;
-/// Characters of a correlation id that the node generates.
+/// Number of characters of a correlation id that the node generates.
 const GENERATED_ID_LEN: usize = 16;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -183,7 +183,7 @@
     );
 }
 
-/// Sends a request without a correlation id, which states this class.
+/// Sends a request without a correlation id, which states `class` if there is one.
 async fn send_with_class(
     client: &Client,
     method: &str,
--- a/crates/testbed/tests/services/settings.rs
+++ b/crates/testbed/tests/services/settings.rs
@@ -9,12 +9,12 @@
     LISTENER.to_owned() + &services.concat()
 }
 
-/// A service at `NAME.example.org` whose requests are idempotent. `service_settings` are more lines of the service.
+/// A service at `NAME.example.org` whose requests are idempotent. `service_settings` is added to the section of the service.
 pub fn idempotent_service(name: &str, service_settings: &str, servers: &str) -> String {
     service(name, "safe", service_settings, servers)
 }
 
-/// A service at `NAME.example.org` whose requests must run at most once.
+/// A service at `NAME.example.org` whose requests must take effect at most once.
 pub fn non_idempotent_service(name: &str, service_settings: &str, servers: &str) -> String {
     service(name, "unsafe", service_settings, servers)
 }
@@ -27,7 +27,7 @@
     )
 }
 
-/// The sections of servers that a service lists itself.
+/// The `[[service.server]]` sections of these servers.
 pub fn server_sections(servers: &[&Server]) -> String {
     servers
         .iter()
--- a/crates/testbed/tests/services/slow_start.rs
+++ b/crates/testbed/tests/services/slow_start.rs
@@ -13,9 +13,9 @@
 
 const SERVICE_COUNT: usize = 10;
 const SERVICE_TIME: Duration = Duration::from_millis(100);
-/// A server that receives more than this multiple of its present capacity collapses.
+/// Highest load on a server that the test accepts, as a multiple of the server's capacity at the time.
 const MAX_OVERLOAD: f64 = 3.0;
-/// Time for the node to receive a new endpoint list.
+/// Longest time that the node takes to receive a new endpoint list.
 const LIST_UPDATE_TIME: Duration = Duration::from_millis(300);
 
 /// Milliseconds of Unix time.
@@ -48,7 +48,7 @@
     )
 }
 
-/// Services with one busy server each, which an endpoint list names.
+/// A node and its services, each of which has an endpoint list with one busy server.
 struct BusyServices {
     endpoint_lists: Vec<Discovery>,
     node: Node,
@@ -108,7 +108,7 @@
     let new_server = Server::start("new", 4, behavior.clone(), 1).await.unwrap();
     let services = BusyServices::start(&behavior).await;
     let address = services.node.address();
-    // The node learns the capacity of a server first.
+    // The node first learns the capacity of a server.
     load::run(address, &workloads("before"), Duration::from_secs(6), 3).await;
     new_server.begin_slow_start(SlowStart {
         initial_capacity: 0.15,
@@ -128,7 +128,10 @@
         "{}",
         overload_message(&new_server)
     );
-    assert!(!early_senders.is_empty(), "no service sends a request");
+    assert!(
+        !early_senders.is_empty(),
+        "no service sent a request to the new server"
+    );
     assert!(
         early_senders.len() <= 8 && !early_senders.contains("s8") && !early_senders.contains("s9"),
         "{early_senders:?}"
@@ -155,7 +158,7 @@
         }
         assert!(
             started_at.elapsed() < Duration::from_secs(60),
-            "some services never send a request: {:?}",
+            "only these services sent a request to the new server: {:?}",
             senders(server)
         );
     }
@@ -183,7 +186,7 @@
     let load_before = [workload("b-before", 100.0)];
     load::run(address, &load_before, Duration::from_secs(2), 3).await;
     assert!(new_server.requests_received() > 0);
-    // The server restarts at its address. Only the endpoint list of service `a` says so; service `b` has no list.
+    // The server restarts at its address. Only the endpoint list of service `a` reports it; service `b` has no list.
     endpoint_list.update(&[just_started("d-new", &new_server)]);
     wait_for_endpoint_list(&node, &old_server).await;
     new_server.begin_slow_start(SlowStart {
@@ -195,7 +198,7 @@
     load::run(address, &load_after, Duration::from_secs(3), 4).await;
     assert!(
         new_server.peak_overload() > 0.0,
-        "no service sends a request"
+        "no service sent a request to the restarted server"
     );
     assert!(
         new_server.peak_overload() < MAX_OVERLOAD,
