--- a/crates/testbed/tests/graphql/cancellation.rs
+++ b/crates/testbed/tests/graphql/cancellation.rs
@@ -21,7 +21,7 @@
     let response = deployment.send(head, batch.to_string()).await;
     assert!(
         sent_at.elapsed() < RESPONSE_TIMEOUT,
-        "the response misses the deadline"
+        "the response came after the deadline"
     );
     let entries: Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(
--- a/crates/testbed/tests/graphql/documents.rs
+++ b/crates/testbed/tests/graphql/documents.rs
@@ -8,7 +8,7 @@
 /// The limit of a request's body. The limit of its document is lower.
 const MAX_BODY_LEN: usize = 1 << 20;
 
-/// Requests that two parsers could understand differently, and others that have no single meaning.
+/// Requests that two parsers could interpret differently, and others whose operation is not determined.
 const AMBIGUOUS_BODIES: &[&str] = &[
     r#"{"query":"{ flags }","query":"mutation { toggle(id: \"h\") { id } }"}"#,
     r#"{"query":"{ flags }","Query":"mutation { toggle(id: \"h\") { id } }"}"#,
@@ -80,7 +80,7 @@
     assert_eq!(
         deployment.post_json(&mismatched).await.status,
         400,
-        "the hash is of another document"
+        "a hash that does not match the document was accepted"
     );
     let effect_counts = deployment.pool.effect_counts();
     assert_eq!(
@@ -93,7 +93,7 @@
     );
 }
 
-/// A request beyond a limit, and what the response says of that limit.
+/// A request that exceeds a limit, and the text by which the response names that limit.
 struct OversizedRequest {
     body: String,
     limit: &'static str,
@@ -146,7 +146,7 @@
         assert_eq!(response.status, 400, "{response_text}");
         assert!(response_text.contains(limit), "{limit}: {response_text}");
     }
-    // A body beyond the limit is rejected before it is read.
+    // A body that exceeds the limit is rejected before it is read.
     let long_body = vec![b' '; MAX_BODY_LEN + 1];
     let response = deployment.post(long_body, GRAPHQL_RESPONSE).await;
     assert_eq!(response.status, 413);
--- a/crates/testbed/tests/graphql/failures.rs
+++ b/crates/testbed/tests/graphql/failures.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// Settings with which no retry budget ends the retries.
+/// Settings under which the retry budget doesn't limit retries.
 const MANY_RETRIES: &str = "tries = { most = 4, retry_share = 1.0 }";
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -56,7 +56,7 @@
     assert_eq!(
         deployment.pool.duplicate_effects(),
         0,
-        "a duplicate effect: {:?}",
+        "mutations took effect more than once: {:?}",
         deployment.pool.effect_counts()
     );
     let Successes {
@@ -70,7 +70,7 @@
     );
 }
 
-/// Sends a mutation. What the response says of it must be true.
+/// Sends a mutation, and checks that the response truthfully says whether it ran.
 async fn check_single_mutation(deployment: &Deployment, round: usize) {
     let id = format!("one-{round}");
     let mutation = operation(&format!("mutation {{ toggle(id: \"{id}\") {{ id }} }}"));
@@ -87,7 +87,8 @@
     }
 }
 
-/// Sends a batch of two reads, two mutations and an invalid document. What the response says of each entry must be true.
+/// Sends a batch of two reads, two mutations and an invalid document, and checks that the response truthfully says of each
+/// entry whether it ran.
 async fn check_batch(deployment: &Deployment, round: usize, successes: &mut Successes) {
     let batch = json!([
         operation("{ flags }"),
@@ -112,7 +113,7 @@
         let retryable = &entry["errors"][0]["extensions"]["retryable"];
         assert!(
             *retryable != true || !has_run,
-            "a mutation is reported as retryable, and ran: {entry}"
+            "a mutation was reported as retryable but ran: {entry}"
         );
         assert!(
             entry.get("data").is_none_or(Value::is_null) || has_run,
@@ -125,7 +126,7 @@
     successes.batches += usize::from(both_reads_succeeded);
 }
 
-/// When the server of a mutation fails.
+/// The stage of a mutation at which its server fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FailureStage {
     BeforeEffect,
@@ -173,7 +174,7 @@
 struct AttemptCounts(Arc<Mutex<HashMap<String, u32>>>);
 
 impl AttemptCounts {
-    /// Counts an attempt and returns how many there have been.
+    /// Counts an attempt; returns the number of attempts with this correlation id so far.
     fn add(&self, correlation_id: &str) -> u32 {
         let mut counts = self.0.lock().unwrap();
         let attempts = counts.entry(correlation_id.to_owned()).or_default();
@@ -188,8 +189,8 @@
     }
 }
 
-/// The GraphQL application on servers that fail: the first two attempts at entry 0 of each batch, and entry 1 at the stage
-/// that the id of the batch names.
+/// The GraphQL application on servers that fail: the first two attempts at entry 0 of each batch fail, and entry 1 fails at
+/// the stage that the id of the batch names.
 fn failing_app(attempt_counts: AttemptCounts) -> App {
     let inner = graphql::app();
     Arc::new(move |head, body| {
@@ -218,7 +219,7 @@
     }
 }
 
-/// Settings with which attempts end by failures of the servers, and never by time.
+/// Settings with such long deadlines that attempts end only by failures of the servers, never by a timeout.
 fn settings_with_long_deadlines(pool: &Pool) -> String {
     graphql::settings(pool, MANY_RETRIES)
         .replace("aim = \"200ms\"", "aim = \"5s\"")
@@ -276,7 +277,7 @@
 fn check_entries(entries: &Value, stage: FailureStage, batch_id: &str) {
     assert!(
         entries[0]["data"]["flags"].is_array(),
-        "{stage:?}: the read fails: {entries}"
+        "{stage:?}: the read failed: {entries}"
     );
     assert_eq!(
         entries[2]["data"]["evaluate"]["on"], true,
--- a/crates/testbed/tests/graphql/harness.rs
+++ b/crates/testbed/tests/graphql/harness.rs
@@ -16,7 +16,7 @@
 pub const GRAPHQL_RESPONSE: &str = "application/graphql-response+json";
 /// The media type of clients that predate the specification.
 pub const JSON: &str = "application/json";
-/// Longest wait for an event that takes a small part of it.
+/// Longest wait for an event; events normally take a small part of it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const SERVER_COUNT: usize = 4;
@@ -33,24 +33,24 @@
     ServerBehavior::healthy(Duration::from_millis(2))
 }
 
-/// A request of one operation without variables.
+/// The body of a request with one operation and no variables.
 pub fn operation(document: &str) -> Value {
     json!({ "query": document })
 }
 
-/// The head of a POST of JSON.
+/// The head of a POST request with a JSON body.
 pub fn post_head() -> Builder {
     Request::post("/graphql")
         .header("host", "flags.example.org")
         .header("content-type", JSON)
 }
 
-/// The head of a GET with these URL parameters.
+/// The head of a GET request with these URL parameters.
 pub fn get_head(parameters: &str) -> Builder {
     Request::get(format!("/graphql?{parameters}")).header("host", "flags.example.org")
 }
 
-/// A response with its body as JSON.
+/// A response whose body has been parsed as JSON.
 pub struct JsonResponse {
     pub status: u16,
     pub body: Value,
@@ -69,7 +69,7 @@
         Deployment::start_with(healthy(), "").await
     }
 
-    /// Starts servers and a node. `service_settings` are more lines of the service.
+    /// Starts servers and a node. `service_settings` is added to the section of the service.
     pub async fn start_with(behavior: ServerBehavior, service_settings: &str) -> Deployment {
         let settings = |pool: &Pool| graphql::settings(pool, service_settings);
         Deployment::start_with_app(behavior, &graphql::app(), settings).await
@@ -102,12 +102,12 @@
         send(&self.client, head, body).await
     }
 
-    /// Sends a POST that accepts this media type.
+    /// Sends a POST request that accepts this media type.
     pub async fn post(&self, body: impl Into<Bytes>, accept: &str) -> ClientResponse {
         self.send(post_head().header("accept", accept), body).await
     }
 
-    /// Sends a POST of JSON, and parses the response.
+    /// Sends a POST request with a JSON body, and parses the response.
     pub async fn post_json(&self, body: &Value) -> JsonResponse {
         let response = self.post(body.to_string(), GRAPHQL_RESPONSE).await;
         JsonResponse {
--- a/crates/testbed/tests/graphql/http.rs
+++ b/crates/testbed/tests/graphql/http.rs
@@ -7,7 +7,7 @@
 struct MediaTypeCase {
     accept: &'static str,
     content_type: &'static str,
-    /// The status of a response that has errors and no data.
+    /// The status of a response that has errors but no data.
     error_status: u16,
 }
 
@@ -86,7 +86,8 @@
     );
 }
 
-/// An example of a POST from the working draft of GraphQL over HTTP, with the status that it gives for each media type.
+/// An example of a POST request from the working draft of GraphQL over HTTP, with the status that the draft specifies for each
+/// media type.
 struct SpecificationExample {
     body: &'static str,
     graphql_response_status: u16,
@@ -146,7 +147,7 @@
     // Field errors during execution.
     example(r#"{"query": "{ broken }"}"#, 200, 200),
 ];
-/// Requests of these tests that only a server can answer: both media types of four examples, and the GET.
+/// Number of requests in this test that only a server can answer: four examples with both media types, and the GET request.
 const FORWARDED_EXAMPLES: u64 = 9;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
