--- a/crates/testbed/tests/connection_bound.rs
+++ b/crates/testbed/tests/connection_bound.rs
@@ -1,4 +1,5 @@
-//! Which client connection a node closes when it has no socket for another one: the real program over loopback sockets.
+//! Which client connections a node closes when it has no socket for a new one, tested with the real program over loopback
+//! sockets.
 
 use reelfall_testbed::scripted::{
     connect, get, read_request, read_response, Discovery, ListedServer, Node, Program, Response,
@@ -9,11 +10,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Sockets that the node may open.
+/// Number of sockets that the node may open.
 const MAX_SOCKETS: usize = 128;
-/// Clients that the node keeps connected with that many sockets: it always frees one for the next client.
+/// Number of clients that the node keeps connected with `MAX_SOCKETS`; it always frees one connection for the next client.
 const MAX_CLIENTS: usize = 59;
-/// A connection that has sent no request for this time is closed before one that is idle after a request.
+/// A connection that has sent no request for this long after it was opened is closed before one that is idle after a
+/// request.
 const SILENCE_GRACE: Duration = Duration::from_secs(1);
 
 fn start_node(server: &Server) -> (Discovery, Node) {
@@ -77,7 +79,7 @@
         assert_eq!(
             send(stream, &id),
             ok(&id),
-            "a connection that was silent at first"
+            "a connection that was silent at first was closed"
         );
     }
     for (n, stream) in recently_used.iter().enumerate() {
@@ -85,7 +87,7 @@
         assert_eq!(
             send(stream, &id),
             ok(&id),
-            "the most recently used connections are closed last"
+            "a recently used connection was closed before older ones"
         );
     }
 }
@@ -98,7 +100,7 @@
     let idle_connections: Vec<TcpStream> = (silent_connections.len()..MAX_CLIENTS)
         .map(|n| connect_idle(&node, &format!("r-{n}")))
         .collect();
-    // The node has accepted the silent connections too: the response on a later one shows it.
+    // A response on a later connection shows that the node has accepted the silent connections.
     let all_accepted = Instant::now();
     let last_idle = idle_connections.last().expect("an idle connection");
     while all_accepted.elapsed() <= SILENCE_GRACE {
@@ -113,11 +115,15 @@
         .for_each(wait_until_closed);
     for (n, stream) in idle_connections.iter().enumerate() {
         let id = format!("a-{n}");
-        assert_eq!(send(stream, &id), ok(&id), "an idle connection");
+        assert_eq!(
+            send(stream, &id),
+            ok(&id),
+            "an idle connection was closed before the silent ones"
+        );
     }
 }
 
-/// A client with an idle connection, which it closes as soon as the node does.
+/// A client with an idle connection. It closes its end as soon as the node closes the connection.
 struct IdleClient {
     stream: TcpStream,
     next_response: JoinHandle<Option<Response>>,
@@ -153,7 +159,7 @@
 fn connection_flood_leaves_sockets_to_active_and_idle_clients() {
     const FLOOD_ROUNDS: usize = 20;
     const CONNECTIONS_PER_ROUND: usize = 15;
-    /// Three quarters are kept, less those whose clients are slow to close their connections.
+    /// The node keeps three quarters of the idle connections, less those whose clients are slow to close their end.
     const MIN_SERVED_IDLE_CLIENTS: usize = MAX_CLIENTS / 2;
     let server = Server::healthy();
     let (_discovery, node) = start_node(&server);
@@ -166,7 +172,7 @@
         assert_eq!(
             get(node.address, &format!("n-{n}")).status,
             200,
-            "a client that sends its request at once"
+            "a client that sent its request at once was not served"
         );
     }
     let mut served = 0;
@@ -175,6 +181,6 @@
     }
     assert!(
         served >= MIN_SERVED_IDLE_CLIENTS,
-        "{served} of {MAX_CLIENTS} idle clients are served"
+        "only {served} of {MAX_CLIENTS} idle clients were served"
     );
 }
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -11,16 +11,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An update counts as known to the node this long after discovery has it, whether or not it arrived.
+/// An update is assumed to be known to the node this long after discovery has it, even if it has not arrived.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
-/// An update sent between two watches counts at once: the gap has to fit into the shortest grace period of a drain, 0.2 s
-/// and 0.05 s more.
+/// An update that is sent between two watches counts as known at once, so that the gap has to fit into the shortest grace
+/// period of a drain, 0.2 s and 0.05 s more.
 const MAX_GAP_BETWEEN_WATCHES: Duration = Duration::from_millis(200);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_SOCKETS: usize = 256;
 
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-/// What the target of a request contains that asks for a watch.
+/// The query parameter by which a request asks for a watch.
 const WATCH_PARAMETER: &str = "watch=1";
 
 fn start_node(discovery: SocketAddr, max_sockets: usize) -> Node {
@@ -37,13 +37,13 @@
     endpoint_list(index, true, &[ListedServer::new(name, address, "active")])
 }
 
-/// The begin of a watch: its head, and this list as the first line.
+/// The beginning of the response to a watch: its head, and this list as the first line.
 fn watch_with(list: &str) -> String {
     WATCH_HEAD.to_owned() + &chunk(&format!("{list}\n"))
 }
 
-/// A discovery service. `respond` writes the response to each request; it gets the request line and the number of the
-/// connection, from 0.
+/// Starts a discovery service and returns its address. `respond` writes the response to each request; it gets the request
+/// line and the number of the connection, counted from 0.
 fn serve_discovery(
     respond: impl Fn(&str, usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -55,7 +55,7 @@
     })
 }
 
-/// Responds with a list to a request that asks for no watch.
+/// Writes the response to a request that asks for the list without a watch.
 fn write_list(stream: &mut TcpStream, list: &str) {
     let _ = write!(
         stream,
@@ -64,7 +64,7 @@
     );
 }
 
-/// Sends the heartbeats of a watch without changes, until the client closes the connection.
+/// Sends heartbeats but no update on a watch, until the client closes the connection.
 fn send_heartbeats(stream: &mut TcpStream) {
     while stream.write_all(chunk("\n").as_bytes()).is_ok() {
         std::thread::sleep(HEARTBEAT_INTERVAL);
@@ -82,7 +82,7 @@
     while server.requests() == 0 {
         assert!(
             started.elapsed() < WAIT_TIMEOUT,
-            "the update does not arrive"
+            "the update did not arrive in time"
         );
         get(node.address, &format!("u-{n}"));
         n += 1;
@@ -110,7 +110,7 @@
         if may_send_updates.lock().unwrap().recv().is_err() {
             return;
         }
-        // Two updates without a gap, in pieces of a few bytes.
+        // Two updates that follow each other at once, in pieces of a few bytes.
         let removed = [ListedServer::new("s-1", old_address, "left")];
         let added = [ListedServer::new("s-2", new_address, "active")];
         let updates = indented(&endpoint_list(6, false, &removed))
@@ -138,7 +138,7 @@
         let (old_server, new_server) = (Server::healthy(), Server::healthy());
         let (old_address, new_address) = (old_server.address, new_server.address);
         let discovery = serve_discovery(move |request_line, _, stream| {
-            // A watch from version 5 on gets the same malformed update again.
+            // A watch that resumes at version 5 gets the same malformed update again.
             if !request_line.contains(WATCH_PARAMETER) {
                 write_list(stream, &snapshot(8, "s-2", new_address));
             } else if request_line.contains("after=8") {
@@ -157,14 +157,15 @@
 
 /// What a discovery service does after it has received a request.
 enum Stall {
-    /// It stalled until the client closed the connection.
+    /// It has stalled until the client closed the connection.
     Stalled,
-    /// It goes on to respond.
+    /// It proceeds to respond.
     Respond,
 }
 
-/// The delay of an update whose discovery service stalls: its first watch sends a first list and calls `stall`; other
-/// requests call `stall` and are sent the update. The delay counts from when the first list was sent.
+/// The time that an update takes to reach a node whose discovery service stalls. The first connection is sent a first list;
+/// then every request calls `stall` and, unless that has stalled, is sent the update. The time counts from the sending of the
+/// first list.
 fn update_delay_with(stall: fn(usize, &mut TcpStream) -> Stall) -> Duration {
     let (old_server, new_server) = (Server::healthy(), Server::healthy());
     let (old_address, new_address) = (old_server.address, new_server.address);
@@ -210,7 +211,7 @@
         if number > 0 {
             return Stall::Respond;
         }
-        // The update goes on byte by byte and never ends.
+        // The update continues byte by byte and is never complete.
         let _ = stream.write_all(chunk("{\"index\":6,").as_bytes());
         while stream.write_all(chunk(" ").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(200));
@@ -220,8 +221,8 @@
     assert!(delay < UPDATE_DEADLINE, "{delay:?}");
 }
 
-/// Accepts connections for a discovery service whose second connection is established late and is then silent. All later
-/// ones are sent the update.
+/// Accepts connections for a discovery service whose second connection is established late and then stays silent. Later
+/// connections are sent the update.
 fn serve_late_connection(
     listener: &TcpListener,
     first: &str,
@@ -233,15 +234,15 @@
     Message::read(&mut BufReader::new(stream.try_clone().unwrap()));
     let _ = stream.write_all(watch_with(first).as_bytes());
     first_list_sent.send(Instant::now()).unwrap();
-    // The node closes the silent watch and connects again while the backlog is full: the system retries a connection
-    // attempt that found a full backlog only after a second.
+    // The node closes the silent watch and connects again while the backlog is full. The kernel retries a connection attempt
+    // that finds a full backlog only after a second.
     stay_silent(&mut stream);
     std::thread::sleep(Duration::from_millis(300));
     drop((listener.accept().unwrap(), filler));
     let (mut late_stream, _) = listener.accept().unwrap();
     std::thread::spawn(move || {
         Message::read(&mut BufReader::new(late_stream.try_clone().unwrap()));
-        // Each step alone would be within the deadline.
+        // Each step on its own takes less than the deadline.
         std::thread::sleep(Duration::from_millis(1200));
         let _ = late_stream.write_all(WATCH_HEAD.as_bytes());
         stay_silent(&mut late_stream);
@@ -274,7 +275,7 @@
     assert!(delay < UPDATE_DEADLINE, "{delay:?}");
 }
 
-/// The state of a discovery service over the course of a test.
+/// The state of a discovery service during a test.
 #[derive(Clone, Copy, PartialEq)]
 enum DiscoveryState {
     FirstList,
@@ -323,7 +324,7 @@
     while new_server.requests() == 0 {
         assert!(
             available_since.elapsed() < WAIT_TIMEOUT,
-            "the update does not arrive"
+            "the update did not arrive in time"
         );
         let mut stream = connect(node.address);
         let _ = stream.write_all(read_request(&format!("n-{n}")).as_bytes());
@@ -335,7 +336,7 @@
     drop(idle_clients);
 }
 
-/// When something happened to a connection, by its number.
+/// The number of a connection, and the time of an event on it.
 struct ConnectionEvent {
     connection: usize,
     time: Instant,
--- a/crates/testbed/tests/golden_answers.rs
+++ b/crates/testbed/tests/golden_answers.rs
@@ -1,5 +1,5 @@
-//! The answers of a node to operators and, where it answers by itself, to clients have the text that they had at commit
-//! c58caac: status, headers and body. Numbers in the bodies of reports change from run to run; a `#` stands for each.
+//! Compares the answers of a node to operators, and its own answers to clients, with a golden file that was recorded at
+//! commit c58caac: status, headers and body. Numbers in bodies differ between runs; each is replaced by `#`.
 
 use reelfall_testbed::node::Folder;
 use reelfall_testbed::scripted::{connect, Program, WAIT_TIMEOUT};
@@ -11,7 +11,7 @@
 
 const GOLDEN: &str = include_str!("golden/answers.txt");
 
-/// Management requests, in this order.
+/// Management requests, in the order in which they are sent.
 const MANAGEMENT: [(&str, &str); 28] = [
     ("GET", "/-/ready"),
     ("HEAD", "/-/ready"),
@@ -43,7 +43,7 @@
     ("POST", "/-/resume"),
 ];
 
-/// Requests of clients that the node answers by itself, each on a connection of its own.
+/// Requests of clients that the node answers without a server, each sent on its own connection.
 const CLIENTS: [&str; 16] = [
     "GET /_health HTTP/1.1\r\nhost: flags.example.org\r\nconnection: close\r\n\r\n",
     "GET /_health/evaluate HTTP/1.1\r\nhost: flags.example.org\r\nconnection: close\r\n\r\n",
@@ -71,7 +71,7 @@
 }
 
 impl Node {
-    /// Starts a node by a settings file, and waits until it is ready and its keeper votes.
+    /// Starts a node with a settings file, and waits until it is ready and its lease keeper votes.
     fn start(folder: &Folder, file: &Path) -> Node {
         let program = Program::in_testbed(env!("CARGO_BIN_EXE_reelfall-testbed"));
         let mut command = program.command();
@@ -92,7 +92,7 @@
         while !node.is_up() {
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "the node does not get ready"
+                "the node did not become ready in time"
             );
         }
         node
@@ -134,17 +134,17 @@
     )
 }
 
-/// All that comes on a new connection until its end.
+/// Sends a request on a new connection, and returns everything that is received until it ends.
 fn read_to_end(to: SocketAddr, request: &str) -> String {
     let mut stream = connect(to);
     stream.write_all(request.as_bytes()).unwrap();
     let mut bytes = Vec::new();
-    // A reset after the answer is an end, too.
+    // A reset after the answer counts as the end.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8(bytes).unwrap()
 }
 
-/// The text with one `#` for each number.
+/// The text with each number replaced by `#`.
 fn without_numbers(text: &str) -> String {
     let mut masked = String::new();
     let mut rest = text.chars().peekable();
@@ -161,7 +161,8 @@
     masked
 }
 
-/// An answer without its date; numbers of its body are left out, and so is the length.
+/// An answer without the values that differ between runs: its date, the numbers in its body and the length of
+/// a body of more than one byte.
 fn comparable(answer: &str) -> String {
     let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((answer, ""));
     let is_left_out = |line: &&str| {
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_node_answers_operators_and_clients_as_it_did() {
+fn answers_to_operators_and_clients_match_golden_file() {
     let folder = Folder::new().unwrap();
     let key = folder.path().join("fleet.key");
     std::fs::write(&key, "a key of sixteen bytes or more").unwrap();
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -11,11 +11,12 @@
 use std::time::{Duration, Instant};
 
 const LARGE_BODY_BYTES: usize = 32 << 20;
-/// Bytes of a large body that are written at once.
+/// Number of bytes of a body that are passed to one write.
 const WRITE_BYTES: usize = 256 << 10;
 const READ_BUFFER_BYTES: usize = 64 << 10;
 const LARGE_BODY_CLIENTS: usize = 24;
-/// A small part of the 64 MB that each of the clients sends and receives; the program itself needs some.
+/// Highest memory use of the node: a small part of the 64 MB that each client sends and receives, and what the program itself
+/// needs.
 const MAX_MEMORY_KIB: u64 = 48 << 10;
 const MEMORY_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -37,12 +38,12 @@
     Node::start(&program, discovery.address, max_sockets)
 }
 
-/// The byte at an offset of a test body: a missing or repeated part changes what follows.
+/// The byte at an offset of a test body. A missing or repeated part of a body makes the bytes after it wrong.
 fn pattern_byte(offset: usize) -> u8 {
     (offset / 251 + offset % 251) as u8
 }
 
-/// A part of a test body.
+/// The part of a test body at this offset.
 fn pattern(offset: usize, length: usize) -> Vec<u8> {
     (offset..offset + length).map(pattern_byte).collect()
 }
@@ -58,7 +59,7 @@
     head
 }
 
-/// The value of the `content-length` field of a head, 0 without one.
+/// The value of the `content-length` field of a head; 0 if there is none.
 fn content_length(head: &str) -> usize {
     let head = head.to_lowercase();
     let value = head
@@ -109,7 +110,7 @@
         }
         let correct_bytes = read_pattern(&mut reader, content_length(&head));
         let response_head = format!(
-            "HTTP/1.1 200 OK\r\ncontent-length: {LARGE_BODY_BYTES}\r\nx-right: {correct_bytes}\r\n\r\n"
+            "HTTP/1.1 200 OK\r\ncontent-length: {LARGE_BODY_BYTES}\r\nx-correct-bytes: {correct_bytes}\r\n\r\n"
         );
         let _ = stream.write_all(response_head.as_bytes());
         if write_pattern(&mut stream, LARGE_BODY_BYTES).is_err() {
@@ -124,7 +125,7 @@
     let mut reader = BufReader::new(stream);
     let head = read_head(&mut reader);
     assert!(
-        head.contains(&format!("x-right: {LARGE_BODY_BYTES}")),
+        head.contains(&format!("x-correct-bytes: {LARGE_BODY_BYTES}")),
         "{head}"
     );
     assert_eq!(
@@ -156,11 +157,11 @@
         .for_each(|client| client.join().unwrap());
     assert!(
         peak_memory_kib < MAX_MEMORY_KIB,
-        "{peak_memory_kib} KiB are used"
+        "the node used {peak_memory_kib} KiB"
     );
 }
 
-/// Answers each request on a connection with a chunked body that takes 8 s.
+/// Answers each request on a connection with a chunked body that takes 8 s to send.
 fn serve_slow_responses(mut stream: TcpStream) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while !read_head(&mut reader).is_empty() {
@@ -200,7 +201,8 @@
     let server = serve(|stream, _| serve_slow_responses(stream));
     let (_discovery, node) = start_node(server);
     let mut stream = connect(node.address);
-    // The class has a deadline of 6 s, and the response takes 8; a connection without a request would be closed after 5.
+    // The class has a deadline of 6 s, and the response takes 8 s; the node would close a connection without a request after
+    // 5 s.
     let request = read_request("slow").replace("6.0", "1.0");
     stream.write_all(request.as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
@@ -242,7 +244,7 @@
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         assert!(
             response.len() < 1_000_000 && !response.ends_with(b"0\r\n\r\n"),
-            "{framing}: it looks complete"
+            "{framing}: a truncated response looks complete"
         );
     }
 }
@@ -264,7 +266,7 @@
         stream.write_all(piece).unwrap();
         std::thread::sleep(Duration::from_millis(60));
     }
-    // About 64 kB a second: the body takes longer than a head is allowed to.
+    // At about 64 kB/s, the body takes longer than the node allows for a head.
     for offset in (0..BODY_BYTES).step_by(PIECE_BYTES) {
         stream
             .write_all(&pattern(offset, PIECE_BYTES.min(BODY_BYTES - offset)))
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn client_abort_during_body_is_not_held_against_server() {
+fn client_abort_during_body_does_not_count_as_server_failure() {
     let server = Server::healthy();
     let (_discovery, node) = start_node(server.address);
     for n in 0..5 {
@@ -292,7 +294,7 @@
             send_write_head(node.address, &format!("b-{n}"), "content-length: 9000000");
         stream.write_all(&pattern(0, 2_000_000)).unwrap();
         drop(stream);
-        // The only server stays in use, and has no incomplete request that it could run.
+        // The only server stays in use, and has not received the incomplete request.
         assert_eq!(get(node.address, &format!("g-{n}")).status, 200);
     }
     assert_eq!(server.requests(), 5);
@@ -310,14 +312,14 @@
         }
     });
     let head = read_head(&mut BufReader::new(stream));
-    // The request never ran, which is what both statuses mean.
+    // Both statuses mean that the request took no effect.
     assert!(
         head.starts_with("HTTP/1.1 408") || head.starts_with("HTTP/1.1 503"),
         "{head}"
     );
     assert!(
         started.elapsed() < MAX_TIME_FOR_TRICKLING_BODY,
-        "a trickling body keeps its connection for {:?}",
+        "a trickling body kept its connection open for {:?}",
         started.elapsed()
     );
     assert_eq!(server.requests(), 0);
@@ -366,7 +368,7 @@
     discovery.send_snapshot(1, &[first]);
     send_snapshot(2, "leaving", "active");
     let node = start_node_with_discovery(&discovery, 256);
-    // With all servers draining the node rejects requests at once.
+    // While all servers are draining, the node rejects requests at once.
     send_snapshot(3, "leaving", "leaving");
     let started = Instant::now();
     while get(node.address, "probe").status == 200 {
