--- a/crates/admin/src/ban.rs
+++ b/crates/admin/src/ban.rs
@@ -19,7 +19,7 @@
 
 /// The maximum number of servers is banned already.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{MAX_BANS} servers are banned already, which is the maximum")]
+#[error("{MAX_BANS} servers are out by hand, and no more can be")]
 pub struct TooManyBans;
 
 /// A ban that was lifted.
--- a/crates/admin/src/ledger.rs
+++ b/crates/admin/src/ledger.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Error)]
 pub enum LedgerError {
     /// It is not a ledger, or it is incomplete.
-    #[error("not a valid ledger: {0}")]
+    #[error("it can't be read: {0}")]
     Malformed(#[from] serde_json::Error),
     /// A program with another format version wrote it.
-    #[error("unsupported format version {0}; this program supports version {FORMAT_VERSION}")]
+    #[error("it has version {0}, and this program knows {FORMAT_VERSION}")]
     UnknownVersion(u32),
     /// It exceeds [`MAX_LEDGER_LEN`].
-    #[error("larger than {MAX_LEDGER_LEN} bytes")]
+    #[error("it is larger than {MAX_LEDGER_LEN} bytes")]
     TooLarge,
 }
 
--- a/crates/lease/src/recovery.rs
+++ b/crates/lease/src/recovery.rs
@@ -31,7 +31,7 @@
 pub enum StorageFault {
     /// Another folder has replaced it.
     #[error(
-        "another folder has replaced the one of this keeper (generation {generation}); this keeper must not vote"
+        "another folder has taken this keeper's place (generation {generation}); this one must not vote"
     )]
     Replaced {
         /// The generation of the other folder.
@@ -39,7 +39,7 @@
     },
     /// It has lost records, for example because it was restored from a backup.
     #[error(
-        "the folder has {own_records} records, but a peer knows of {known_records}: it is an old copy; empty it so that the keeper can recover"
+        "the folder has {own_records} records, a fellow knows of {known_records}: it is an old copy; empty it to begin anew"
     )]
     Outdated {
         /// Number of records that this folder has.
--- a/crates/lease/src/token.rs
+++ b/crates/lease/src/token.rs
@@ -19,7 +19,7 @@
 
 /// The text is not a valid [`LeaseName`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("a lease name must consist of 1 to {MAX_LEASE_NAME_LEN} letters, digits, '-', '_', '.', '/' or ':'")]
+#[error("a lease's name has 1 to {MAX_LEASE_NAME_LEN} letters, digits, '-', '_', '.', '/' or ':'")]
 pub struct InvalidLeaseName;
 
 impl TryFrom<String> for LeaseName {
--- a/crates/node/src/fleet/admin.rs
+++ b/crates/node/src/fleet/admin.rs
@@ -41,7 +41,7 @@
         let ban = self.fleet.borrow_mut().ban(now, server, by, duration);
         self.apply_and_send();
         if ban.is_none() {
-            let text = "not banned: another process has this node's name, or the table of entries is full\n";
+            let text = "not done: another process has this node's name, or there is no room\n";
             return ManagementResponse::new(StatusCode::CONFLICT, text);
         }
         ManagementResponse::ok(format!("{server} is out, and the fleet is told\n"))
@@ -129,7 +129,7 @@
     let members = fleet.members();
     let me = members.local_node();
     let conflict = if fleet.has_name_conflict(now) {
-        "; publishes nothing, another process has its name"
+        "; stands aside, another process has its name"
     } else {
         ""
     };
@@ -153,10 +153,10 @@
     let since = instance.started_ms;
     match ejected.iter().find(|found| found.server == *instance) {
         Some(found) => report.add(format_args!(
-            "start {since}: ejected by a quorum of nodes, for {:.1} s",
+            "start {since}: fails several nodes, for {:.1} s",
             found.remaining
         )),
-        None => report.add(format_args!("start {since}: not ejected")),
+        None => report.add(format_args!("start {since}: not condemned")),
     }
     for published in fleet.reports(instance, now) {
         let (by, evidence, age) = (
@@ -176,7 +176,7 @@
         match (key, &entry.value) {
             (Key::Report { server, reporter }, Value::Report(evidence)) => {
                 report.add(format_args!(
-                    "{} since {}: {reporter} reports {}, {:.1} s ago, for {:.1} s",
+                    "{} since {}: {reporter} says {}, {:.1} s ago, for {:.1} s",
                     server.name,
                     server.started_ms,
                     describe_report(evidence),
@@ -187,7 +187,7 @@
             (Key::Ban { .. }, _) => add_ban(&mut report, key, entry, now),
             (Key::Leaving { node, incarnation }, _) => {
                 report.add(format_args!(
-                    "{node}, life {}: leaving the fleet",
+                    "{node}, life {}: on its way out",
                     incarnation.number
                 ));
             }
@@ -196,7 +196,7 @@
                     .get(list)
                     .map_or("none".to_owned(), |followed| followed.index.to_string());
                 report.add(format_args!(
-                    "list {list}: latest known index {}; index here {here}",
+                    "list {list}: index {} was seen; here {here}",
                     entry.version.sequence
                 ));
             }
@@ -214,7 +214,7 @@
         format!(" (zone {})", report.zone)
     };
     format!(
-        "{:?}: {} failures, {} successes; faulty servers: {} of {}{zone}",
+        "{:?}: {} bad, {} good; faults with {} of {}{zone}",
         report.finding,
         report.failures,
         report.successes,
--- a/crates/node/src/lease/admin.rs
+++ b/crates/node/src/lease/admin.rs
@@ -12,11 +12,11 @@
 /// Describes a keeper's status; the text continues a sentence that begins with "this keeper".
 pub fn describe(status: Status) -> String {
     match status {
-        Status::Empty => "has an empty folder and asks its peers for its state".to_owned(),
+        Status::Empty => "has an empty folder and asks its fellows what was before".to_owned(),
         Status::CatchingUp => {
-            "has a new folder and reads the promises made by its peers".to_owned()
+            "has a new folder and reads what its fellows have promised".to_owned()
         }
-        Status::Verifying => "verifies with its peers that its folder is the latest".to_owned(),
+        Status::Verifying => "asks its fellows whether its folder is the latest".to_owned(),
         Status::Voting => "votes".to_owned(),
         Status::Rejected(reason) => format!("does not vote: {reason}"),
     }
@@ -31,7 +31,7 @@
         }
         match &self.local_keeper {
             None => report.add(format_args!(
-                "this node is not a keeper; the keepers are {}",
+                "no keeper; the keepers are {}",
                 self.keepers.join(", ")
             )),
             Some(local) => add_keeper(&mut report, local, now),
@@ -54,7 +54,7 @@
         self.log.write_line(format_args!(
             "lease {name}: released by an operator: {reason}"
         ));
-        ManagementResponse::ok(format!("{name} is released\n"))
+        ManagementResponse::ok(format!("{name} is given back\n"))
     }
 }
 
@@ -66,7 +66,7 @@
             seconds(active.remaining())
         )),
         None if local.lease.is_wanted() => report.add(format_args!("{name}: wanted here")),
-        None => report.add(format_args!("{name}: released here")),
+        None => report.add(format_args!("{name}: given back here")),
     }
 }
 
@@ -88,7 +88,7 @@
     if local.dropped_requests.get() > 0 {
         let dropped = local.dropped_requests.get();
         report.add(format_args!(
-            "{dropped} requests dropped because the disk is slow"
+            "{dropped} questions left, as the disk is slow"
         ));
     }
 }
@@ -98,7 +98,7 @@
         .promise
         .client
         .as_ref()
-        .map_or("an unknown client", |client| client.name.as_str());
+        .map_or("a fellow's asker", |client| client.name.as_str());
     let granted = match view.remaining {
         Some(remaining) => format!("to {holder}, for {:.1} s", seconds(remaining)),
         None => "to nobody".to_owned(),
@@ -114,7 +114,7 @@
     };
     let (lease, ballot) = (view.lease, view.promise.ballot);
     report.add(format_args!(
-        "{lease}: granted {granted}, highest ballot {ballot}{waiting}"
+        "{lease}: granted {granted}, last number {ballot}{waiting}"
     ));
 }
 
--- a/crates/testbed/src/soak/ejections.rs
+++ b/crates/testbed/src/soak/ejections.rs
@@ -20,7 +20,7 @@
 /// What a node logs when it ejects a server, behind the name of the server.
 const EJECTED: &str = "is ejected, a quorum";
 /// What a node answers about a server that it has ejected.
-const EXPLAINED_AS_EJECTED: &str = "ejected by a quorum of nodes";
+const EXPLAINED_AS_EJECTED: &str = "fails several nodes";
 /// Pause between two questions to a node.
 const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 /// A response is late from this time on: the latency objective of the services of a fleet.
--- a/crates/testbed/tests/cluster/ejection.rs
+++ b/crates/testbed/tests/cluster/ejection.rs
@@ -41,7 +41,7 @@
     wait_until_attempted(&fleet, 0, &BUSY).await;
     fleet.servers[0].update_behavior(|behavior| behavior.error_ratio = 1.0);
     let failing_since = fleet.history.now();
-    wait_until_explained(&fleet, "s0", "ejected by a quorum of nodes").await;
+    wait_until_explained(&fleet, "s0", "fails several nodes").await;
     let detection_time = fleet.history.now() - failing_since;
     assert!(
         detection_time < Duration::from_secs(8),
@@ -62,7 +62,7 @@
     );
     // It responds again: the prober finds that out, or the verdict expires, and all nodes send there.
     fleet.servers[0].update_behavior(|behavior| behavior.error_ratio = 0.0);
-    wait_until_explained(&fleet, "s0", "not ejected").await;
+    wait_until_explained(&fleet, "s0", "not condemned").await;
     wait_until_attempted(&fleet, 0, &IDLE).await;
     load_at_idle.stop().await;
     // Nodes that have seen it fail send it about one of two hundred requests, so they get more of them.
@@ -156,7 +156,7 @@
         "{detection_time:?} of {ejected_after:?}"
     );
     set_paused(&mut fleet, 0, false).await;
-    wait_until_explained(&fleet, "s0", "not ejected").await;
+    wait_until_explained(&fleet, "s0", "not condemned").await;
     let readmitted_after = fleet.history.now() - paused_at - ejected_after;
     assert!(
         readmitted_after < 4 * SECOND,
--- a/crates/testbed/tests/cluster/endpoint_lists.rs
+++ b/crates/testbed/tests/cluster/endpoint_lists.rs
@@ -42,7 +42,7 @@
     fleet.servers[0].update_behavior(|behavior| behavior.error_ratio = 1.0);
     // A low rate: nodes that are short of processor time report all servers as slow, and then send to any.
     let load = fleet.start_load_at(&AHEAD, 20.0, 0.2, 27);
-    wait_until_explained(&fleet, "s0", "ejected by a quorum of nodes").await;
+    wait_until_explained(&fleet, "s0", "fails several nodes").await;
     wait_until_errors_reported(&fleet, "s0", 3).await;
     wait_until_ejected(&fleet, 0, &AHEAD).await;
     // For nodes that know only the former one it is not ejected.
--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -41,9 +41,8 @@
         .await
         .expect("a line");
     put("long", &vec![b'x'; TOO_LONG_DATA_LEN]);
-    node.wait_for_log("long: the data is")
-        .await
-        .expect("a line");
+    let too_long = format!("long: the data is {TOO_LONG_DATA_LEN} bytes long");
+    node.wait_for_log(&too_long).await.expect("a line");
     put("no-json", b"\x00\xff\xfe");
     node.wait_for_log("no-json: the data is not a valid JSON object")
         .await
