--- a/crates/testbed/tests/membership/entries.rs
+++ b/crates/testbed/tests/membership/entries.rs
@@ -41,7 +41,8 @@
         .await
         .expect("the invalid entry is logged");
     put("long", &vec![b'x'; TOO_LONG_DATA_LEN]);
-    node.wait_for_log("long: the data is")
+    let too_long = format!("long: the data is {TOO_LONG_DATA_LEN} bytes long");
+    node.wait_for_log(&too_long)
         .await
         .expect("the invalid entry is logged");
     put("no-json", b"\x00\xff\xfe");
