--- a/crates/capacity/src/budget/distribution_runs.rs
+++ b/crates/capacity/src/budget/distribution_runs.rs
@@ -1,4 +1,4 @@
-//! How the distribution of settings fares in runs of the emulator, held against the budgets. The table `mechanism` shows it.
+//! Compares emulator runs of the settings distribution with the budgets. Generates the table `mechanism`.
 
 use super::error::Error;
 use super::model::budget;
@@ -17,7 +17,7 @@
 pub const BURST_BYTES: f64 = budget::NODE_TRAFFIC * LONG_WINDOW;
 /// Prefix of the names of runs that state the memory of a machine.
 pub const MEMORY_RUN_PREFIX: &str = "configuration held: ";
-/// What the names of machines begin with that have the memory budget of a node.
+/// Prefix of the machine names to which the memory budget of a node applies.
 const NODE_PREFIX: &str = "a node";
 
 /// Reports of runs, each of one commit, in the order of the table.
@@ -30,19 +30,19 @@
 /// A budget or guarantee that a run did not keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Excess {
-    /// So many guarantees were violated.
+    /// Number of violated guarantees.
     ViolatedGuarantees(u64),
-    /// So many times, a node ended without a change or a tenant.
+    /// Number of changes and tenants missing at nodes at the end of the run.
     Missing(u64),
-    /// Changes took this factor too long.
+    /// Time until changes were in force, as a multiple of the budget.
     InForce(f64),
-    /// Catching up took this factor too long.
+    /// Time to catch up, as a multiple of the budget.
     CaughtUp(f64),
-    /// First requests waited this factor too long.
+    /// 99th percentile of the wait of first requests, as a multiple of the budget.
     FirstRequest(f64),
-    /// A node's mean traffic was this factor too high.
+    /// Mean traffic of a node, as a multiple of the budget.
     MeanTraffic(f64),
-    /// A node's traffic within [`LONG_WINDOW`] was this factor too high.
+    /// Peak traffic of a node within [`LONG_WINDOW`], as a multiple of [`BURST_BYTES`].
     BurstTraffic(f64),
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// What of a run is over its budget; nothing where the run fits.
+/// Returns the budgets and guarantees that a run exceeds; empty if the run fits.
 pub fn excesses(run: &Run, played: &Played) -> Vec<Excess> {
     let violated = (played.faults > 0).then_some(Excess::ViolatedGuarantees(played.faults));
     let missing = (played.missing > 0).then_some(Excess::Missing(played.missing));
@@ -88,7 +88,7 @@
     all.into_iter().flatten().collect()
 }
 
-/// How many times over a budget, if it is.
+/// Returns the amount as a multiple of the budget if it exceeds it.
 fn excess_factor(amount: f64, budget: f64) -> Option<f64> {
     (amount > budget).then_some(amount / budget)
 }
@@ -122,8 +122,8 @@
 
 fn cells(run: &Run, played: &Played) -> Vec<String> {
     let in_force = match played.judged_by {
-        // Changes that wait for the end of a partition are counted from when they were requested, which says nothing of what
-        // follows it.
+        // Changes that wait for the end of a partition are timed from their request, so the times include the partition and
+        // don't show how long propagation takes after it.
         JudgedBy::CaughtUp | JudgedBy::Bytes => None,
         JudgedBy::InForce | JudgedBy::FirstRequest => run.in_force,
     };
@@ -145,7 +145,7 @@
     })
 }
 
-/// The runs of the distribution in a report, among its runs of other kinds.
+/// Returns the distribution runs of a report and skips runs of other kinds.
 fn distribution_runs(report: &Report) -> impl Iterator<Item = (&Run, &Played)> {
     report
         .runs
@@ -157,7 +157,7 @@
     /// Reads all of [`REPORT_FILES`].
     ///
     /// # Errors
-    /// If one can't be read or has another format.
+    /// If a report can't be read or has an unsupported format.
     pub fn read(root: &Path) -> Result<DistributionRuns, Error> {
         let reports = REPORT_FILES
             .iter()
@@ -167,7 +167,7 @@
         })
     }
 
-    /// The runs as a table, with what holds for all of them below it.
+    /// Renders the runs as a table, followed by a summary, the ages and the memory table.
     pub fn table(&self) -> String {
         let header = [
             "play",
@@ -198,7 +198,7 @@
         self.reports.iter().flat_map(distribution_runs)
     }
 
-    /// The memory of machines, where that was measured.
+    /// Renders the memory runs as a table; empty if there are none.
     fn memory_table(&self) -> String {
         let runs = self.reports.iter().flat_map(|report| &report.runs);
         let rows: Vec<_> = runs.filter_map(memory_cells).collect();
@@ -213,7 +213,7 @@
         "\n".to_owned() + &markdown::table(&header, &rows)
     }
 
-    /// The commits that were run, and which rows are of which.
+    /// Names the commit and seed of each report and the number of rows that belong to it.
     fn commits(&self) -> String {
         let Some((first, others)) = self.reports.split_first() else {
             return String::new();
@@ -229,7 +229,7 @@
         commits
     }
 
-    /// The greatest value of a figure in all runs.
+    /// Returns the largest value of a figure over all runs as text.
     fn greatest(&self, figure: fn(&Run, &Played) -> f64) -> String {
         let figures = self.runs().map(|(run, played)| figure(run, played));
         plain(figures.fold(0.0, f64::max))
@@ -252,7 +252,7 @@
     }
 }
 
-/// The ages that nodes stated in a run, where they were compared with the truth.
+/// Renders the data ages that nodes reported in a run, if they were compared with the actual ages.
 fn ages(played: &Played) -> Option<String> {
     let Ages {
         compared,
--- a/crates/capacity/src/budget/error.rs
+++ b/crates/capacity/src/budget/error.rs
@@ -1,9 +1,9 @@
-//! Why tables can't be generated. Readers of inputs and the page module return it.
+//! Errors of table generation, returned by the readers of inputs and reports and by the page module.
 
 use std::path::PathBuf;
 use thiserror::Error as ThisError;
 
-/// Why tables can't be generated.
+/// Reason why tables can't be generated.
 #[derive(Debug, ThisError)]
 pub enum Error {
     /// A file can't be read or written.
@@ -14,7 +14,7 @@
         /// Why not.
         source: std::io::Error,
     },
-    /// A file is not the JSON that it should be.
+    /// A file can't be parsed as the expected JSON.
     #[error("{}: {source}", path.display())]
     Json {
         /// The file.
@@ -22,20 +22,20 @@
         /// Why not.
         source: serde_json::Error,
     },
-    /// A file has another format.
-    #[error("{}: schema {found}, {supported} is known", path.display())]
+    /// A file has an unsupported schema version.
+    #[error("{}: unsupported schema version {found}; expected {supported}", path.display())]
     Schema {
         /// The file.
         path: PathBuf,
-        /// The schema that it states.
+        /// The schema version stated in the file.
         found: u32,
-        /// The schema that this program reads.
+        /// The schema version that this program reads.
         supported: u32,
     },
     /// A formula needs an input that is missing.
-    #[error("there is no input `{0}`")]
+    #[error("input `{0}` is missing")]
     MissingInput(&'static str),
-    /// The page has no such marker, or no end after it.
-    #[error("the page has no place for the table `{0}`")]
+    /// The page lacks the start marker of the table, or the end marker after it.
+    #[error("the page has no start or end marker for the table `{0}`")]
     MissingMarker(String),
 }
--- a/crates/capacity/src/budget/inputs.rs
+++ b/crates/capacity/src/budget/inputs.rs
@@ -11,7 +11,7 @@
 /// The supported format of the inputs' JSON.
 pub const SCHEMA: u32 = 1;
 
-/// One figure.
+/// A named figure with its unit and provenance.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Input {
@@ -21,7 +21,7 @@
     pub value: f64,
     /// Its unit, in words.
     pub unit: String,
-    /// Where it comes from.
+    /// Whether it was measured, derived or assumed.
     #[serde(rename = "kind")]
     pub provenance: Provenance,
     /// What it is, and at which sizes it was measured.
@@ -34,7 +34,7 @@
 }
 
 impl Input {
-    /// The command and the commit that the figure comes from.
+    /// Renders the command and the commit that produced the figure.
     fn origin(&self) -> String {
         match (&self.command, &self.commit) {
             (Some(command), Some(commit)) => format!("`{command}`, {commit}"),
@@ -55,31 +55,31 @@
     }
 }
 
-/// All figures.
+/// The contents of the inputs file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Inputs {
-    /// [`SCHEMA`].
+    /// Format version; [`SCHEMA`] is the only supported one.
     pub schema: u32,
     /// The figures, in the order of the page.
     pub inputs: Vec<Input>,
 }
 
 impl Inputs {
-    /// Reads a file.
+    /// Reads the inputs from a JSON file.
     ///
     /// # Errors
-    /// If it can't be read or has another format.
+    /// If the file can't be read or has an unsupported format.
     pub fn read(path: &Path) -> Result<Inputs, Error> {
         let inputs: Inputs = json::read(path)?;
         json::check_schema(path, inputs.schema, SCHEMA)?;
         Ok(inputs)
     }
 
-    /// The value of a figure.
+    /// Returns the value of the figure of this name.
     ///
     /// # Errors
-    /// If there is none of that name.
+    /// If there is no figure of that name.
     pub fn value(&self, name: &'static str) -> Result<f64, Error> {
         let input = self.inputs.iter().find(|input| input.name == name);
         input
@@ -87,7 +87,7 @@
             .ok_or(Error::MissingInput(name))
     }
 
-    /// The figures as a table.
+    /// Renders the figures as a table.
     pub fn table(&self) -> String {
         let header = ["input", "value", "kind", "what it is", "command, commit"];
         let rows: Vec<_> = self.inputs.iter().map(Input::cells).collect();
--- a/crates/capacity/src/budget/json.rs
+++ b/crates/capacity/src/budget/json.rs
@@ -8,7 +8,7 @@
 /// Reads a JSON file.
 ///
 /// # Errors
-/// If it can't be read or parsed.
+/// If the file can't be read or parsed.
 pub(super) fn read<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let text = std::fs::read(path).map_err(|source| Error::File {
         path: path.to_owned(),
@@ -20,10 +20,10 @@
     })
 }
 
-/// Checks the schema that a file states.
+/// Checks the schema version that a file states.
 ///
 /// # Errors
-/// If it is not the supported one.
+/// If the version is not the supported one.
 pub(super) fn check_schema(path: &Path, found: u32, supported: u32) -> Result<(), Error> {
     if found == supported {
         return Ok(());
@@ -38,14 +38,14 @@
 /// Reads a report of scale runs.
 ///
 /// # Errors
-/// If it can't be read or has another format.
+/// If the report can't be read or has an unsupported format.
 pub(super) fn read_report(path: &Path) -> Result<Report, Error> {
     let report: Report = read(path)?;
     check_schema(path, report.schema, REPORT_SCHEMA)?;
     Ok(report)
 }
 
-/// The JSON files of a folder by their names; none if there is no such folder.
+/// Returns the JSON files of a folder, sorted by path; empty if the folder can't be read.
 pub(super) fn files(folder: &Path) -> Vec<PathBuf> {
     let Ok(entries) = std::fs::read_dir(folder) else {
         return Vec::new();
--- a/crates/capacity/src/budget/markdown.rs
+++ b/crates/capacity/src/budget/markdown.rs
@@ -1,11 +1,11 @@
-//! Tables in Markdown. All tables of the pages are rendered here.
+//! Rendering of Markdown tables for the generated pages.
 
-/// The cell of a figure that was not measured.
+/// Cell text for a figure that was not measured.
 pub const NOT_MEASURED: &str = "not measured";
-/// The text in place of a table without rows.
+/// Text that replaces a table without rows.
 pub const NO_ROWS: &str = "Not measured yet.\n";
 
-/// A Markdown table.
+/// Renders a Markdown table.
 pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let separator = vec!["---"; header.len()];
     let rows: String = rows.iter().map(|row| line(&row.join(" | "))).collect();
--- a/crates/capacity/src/budget/measurements.rs
+++ b/crates/capacity/src/budget/measurements.rs
@@ -1,4 +1,4 @@
-//! What scale runs have measured, and its tables on the capacity page. The worst cases and the messages of a node use it too.
+//! Results of scale runs, and their tables on the capacity page. The worst cases and the messages of a node use them too.
 
 use super::error::Error;
 use super::json;
@@ -9,7 +9,8 @@
 
 /// Digits of a commit in the tables.
 const SHORT_COMMIT_LENGTH: usize = 7;
-/// Names of runs that are points of sweeps: the page of scale runs has them, and the capacity page the lines through them.
+/// Names of runs that are points of sweeps. The capacity page shows only the lines through them; the page of scale runs shows
+/// the points.
 const SWEEP_POINTS: [&str; 4] = ["sweep", "settings", "server-list", "server-change"];
 
 /// A single run, and the commit that it measured.
@@ -22,7 +23,7 @@
 }
 
 impl MeasuredRun {
-    /// The first digits of the commit.
+    /// Returns the commit, shortened for the tables.
     pub fn short_commit(&self) -> String {
         short(&self.commit)
     }
@@ -37,7 +38,7 @@
     pub slope: Slope,
 }
 
-/// All reports of scale runs.
+/// Runs and slopes of all reports of scale runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Measurements {
     /// Single runs.
@@ -47,10 +48,10 @@
 }
 
 impl Measurements {
-    /// Reads all reports of a folder; there are no measurements if there is no such folder.
+    /// Reads all reports of a folder. A missing folder yields no measurements.
     ///
     /// # Errors
-    /// If a report can't be read or has another format.
+    /// If a report can't be read or has an unsupported format.
     pub fn read(folder: &Path) -> Result<Measurements, Error> {
         let mut measurements = Measurements::default();
         for path in json::files(folder) {
@@ -82,7 +83,7 @@
     commit.chars().take(SHORT_COMMIT_LENGTH).collect()
 }
 
-/// Runs that are not points of sweeps.
+/// Returns the runs that are not points of sweeps.
 pub fn without_sweep_points(runs: &[MeasuredRun]) -> Vec<MeasuredRun> {
     runs.iter()
         .filter(|measured| !SWEEP_POINTS.contains(&measured.run.name.as_str()))
@@ -90,7 +91,7 @@
         .collect()
 }
 
-/// Runs as a table.
+/// Renders runs as a table.
 pub fn runs_table(runs: &[MeasuredRun]) -> String {
     if runs.is_empty() {
         return NO_ROWS.to_owned();
@@ -135,7 +136,7 @@
     ]
 }
 
-/// When changes were in force: the 99th percentile, and at the last node.
+/// Renders the times until changes were in force: the 99th percentile, and the time of the last node.
 pub(super) fn in_force_text(in_force: Option<Times>) -> String {
     in_force.map_or(NOT_MEASURED.to_owned(), |times| {
         let seconds = [times.p99, times.last].map(|time| amount(time, Unit::Seconds));
@@ -152,7 +153,7 @@
     }
 }
 
-/// Lines through sweeps as a table, extended to the target where they are straight.
+/// Renders the lines through sweeps as a table, extrapolated to the target where they are straight.
 pub fn slopes_table(slopes: &[MeasuredSlope]) -> String {
     if slopes.is_empty() {
         return NO_ROWS.to_owned();
@@ -198,7 +199,7 @@
     }
 }
 
-/// Why a line is not extended to the target.
+/// Returns the text for a line that is not extrapolated to the target.
 pub(super) fn not_projected(slope: &Slope) -> &'static str {
     if slope.bent {
         "not extended: it bends"
--- a/crates/capacity/src/budget/mod.rs
+++ b/crates/capacity/src/budget/mod.rs
@@ -2,21 +2,21 @@
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`distribution_runs`] | how the distribution of settings fares in the emulator, beside the budgets |
-//! | [`error`] | why tables can't be generated |
+//! | [`distribution_runs`] | emulator runs of the settings distribution, compared with the budgets |
+//! | [`error`] | errors of table generation |
 //! | [`inputs`] | the figures that formulas depend on, read from JSON |
 //! | [`json`] | reading JSON files of a known schema |
-//! | [`markdown`] | tables in Markdown |
-//! | [`measurements`] | what scale runs have measured |
+//! | [`markdown`] | rendering of Markdown tables |
+//! | [`measurements`] | results of scale runs |
 //! | [`model`] | the formulas |
 //! | [`page`] | the tables between the markers of a page |
-//! | [`provenance`] | how well a figure is known |
-//! | [`ranking`] | what does not fit, by how far |
+//! | [`provenance`] | whether a figure is measured, derived or assumed |
+//! | [`ranking`] | amounts over budget, largest excess first |
 //! | [`requirement`] | what a role requires of one resource, and its verdict |
 //! | [`roles`] | what each role requires at three sizes |
 //! | [`scale_page`] | the tables of the page of scale runs |
 //! | [`units`] | amounts with their units as text |
-//! | [`worst_cases`] | the worst cases |
+//! | [`worst_cases`] | costs of the worst cases at the target |
 //!
 //! `docs/CAPACITY.md` and `docs/measurements/scale.md` are generated from these; `cargo run -p reelfall-capacity --example capacity
 //! -- --write` writes their tables.
@@ -45,28 +45,28 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The capacity page, from the root of the repository.
+/// Path of the capacity page, relative to the root of the repository.
 pub const CAPACITY_PAGE: &str = "docs/CAPACITY.md";
-/// The page of scale runs, from the root of the repository.
+/// Path of the page of scale runs, relative to the root of the repository.
 pub const SCALE_PAGE: &str = "docs/measurements/scale.md";
-/// The inputs, from the root of the repository.
+/// Path of the inputs file, relative to the root of the repository.
 pub const INPUTS: &str = "docs/measurements/capacity.json";
-/// The folder of scale runs, from the root of the repository.
+/// Path of the folder with reports of scale runs, relative to the root of the repository.
 pub const SCALE_RUNS: &str = "docs/measurements/scale";
 
-/// Tables by their names.
+/// Rendered tables, keyed by the names in the markers of the page.
 pub type Tables = BTreeMap<&'static str, String>;
 
 /// A page and its generated tables.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// The page, from the root of the repository.
+    /// Path of the page, relative to the root of the repository.
     pub file: &'static str,
-    /// Its tables.
+    /// The generated tables of the page.
     pub tables: Tables,
 }
 
-/// All pages.
+/// Generates the tables of all pages.
 ///
 /// # Errors
 /// If an input can't be read or is missing.
@@ -83,7 +83,7 @@
     ])
 }
 
-/// All tables of the capacity page.
+/// Generates the tables of the capacity page.
 ///
 /// # Errors
 /// If an input can't be read or is missing.
--- a/crates/capacity/src/budget/model/costs.rs
+++ b/crates/capacity/src/budget/model/costs.rs
@@ -13,7 +13,7 @@
         }
 
         impl Costs {
-            /// The costs that the inputs state.
+            /// Takes the costs from the inputs.
             ///
             /// # Errors
             /// If an input is missing.
--- a/crates/capacity/src/budget/model/endpoint_lists.rs
+++ b/crates/capacity/src/budget/model/endpoint_lists.rs
@@ -1,11 +1,10 @@
-//! Lists of servers, as list services push them or a registry is polled for them. The tables of roles, the ranking and the worst
-//! cases call it.
+//! Endpoint lists pushed by list services or polled from a registry, for the tables of roles, the ranking and the worst cases.
 
 use super::costs::Costs;
 use super::{program_limits, DAY_SECONDS};
 use crate::scale::report::Size;
 
-/// What polling all entries of a registry costs a node.
+/// Cost to a node of polling all entries of a registry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RegistryPolling {
     /// Bytes a second.
@@ -14,23 +13,23 @@
     pub cores: f64,
 }
 
-/// Bytes a second of a heartbeat on one watch: a packet, and its acknowledgement.
+/// Bytes per second of the heartbeats on one watch: a packet and its acknowledgement each.
 pub fn watch_heartbeat_traffic(costs: &Costs) -> f64 {
     (costs.heartbeat_bytes + 2.0 * costs.packet_overhead) / costs.heartbeat_interval
 }
 
-/// Bytes a second of the heartbeats of a watch for each service.
+/// Bytes per second of heartbeats with one watch for each service.
 pub fn heartbeat_traffic(costs: &Costs, size: &Size) -> f64 {
     size.services as f64 / costs.heartbeat_interval
         * (costs.heartbeat_bytes + 2.0 * costs.packet_overhead)
 }
 
-/// Bytes of lists that name so many servers.
+/// Bytes of lists that name `servers` servers in total.
 pub fn list_bytes(costs: &Costs, servers: f64) -> f64 {
     costs.list_line_bytes * servers
 }
 
-/// The longest list that a node accepts, in servers.
+/// Number of servers in the longest list that a node accepts.
 pub fn max_list_servers(costs: &Costs) -> f64 {
     (program_limits::ENDPOINT_LIST_BYTES / costs.list_line_bytes).floor()
 }
@@ -47,7 +46,7 @@
         * (costs.list_line_bytes + 2.0 * costs.packet_overhead)
 }
 
-/// What it costs to poll all entries of a registry.
+/// Computes the cost of polling all entries of a registry.
 pub fn registry_polling(costs: &Costs, size: &Size) -> RegistryPolling {
     let read_rate = size.servers as f64 / costs.registry_poll_interval;
     RegistryPolling {
--- a/crates/capacity/src/budget/model/mod.rs
+++ b/crates/capacity/src/budget/model/mod.rs
@@ -1,9 +1,9 @@
-//! The formulas: what each part needs, by the size of the system and the costs of one unit. The tables of the page call them.
+//! Formulas for the resources that each part needs, given the size of the system and unit costs. The tables of the page use them.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | [`costs`] | what one unit of each resource costs |
-//! | [`budget`] | what control may spend |
+//! | [`costs`] | unit costs of resources |
+//! | [`budget`] | budgets for control |
 //! | [`program_limits`] | limits of the node's program |
 //! | [`settings`] | the settings file and its changes |
 //! | [`endpoint_lists`] | lists of servers, from services or a registry |
@@ -14,8 +14,8 @@
 //! | [`tenants`] | quotas across nodes |
 //! | [`distribution`] | control machines that distribute settings |
 //!
-//! All amounts are in bytes, seconds and cores. Each formula that extends a line beyond what was measured says why the line is
-//! straight that far, or is not there.
+//! All amounts are in bytes, seconds and cores. A formula extrapolates beyond the measured range only if its comment says why
+//! growth stays linear there.
 
 pub mod budget;
 pub mod connections;
@@ -35,9 +35,9 @@
 pub const DAY_SECONDS: f64 = 86_400.0;
 /// Requests a second at the target's peak.
 pub const PEAK_REQUEST_RATE: f64 = 1_700_000.0;
-/// Regions, at any size.
+/// Number of regions, the same at every size.
 pub const REGIONS: f64 = 4.0;
-/// Zones, at any size.
+/// Number of zones, the same at every size.
 pub const ZONES: f64 = 13.0;
 /// Servers of a zone at the target.
 pub const ZONE_SERVERS: f64 = 3850.0;
@@ -45,14 +45,14 @@
 pub const ZONE_NODES: f64 = 460.0;
 /// Nodes of a region at the target.
 pub const REGION_NODES: f64 = 1500.0;
-/// Machines that are set aside for control.
+/// Machines dedicated to control.
 pub const CONTROL_MACHINES: f64 = 18.0;
-/// Nodes of the smallest of the [`page_sizes`].
+/// Nodes at the smallest of the [`page_sizes`].
 const SMALL_NODES: usize = 300;
-/// Nodes of the middle one of the [`page_sizes`].
+/// Nodes at the middle one of the [`page_sizes`].
 const MEDIUM_NODES: usize = 1500;
 
-/// The target, scaled to so many nodes.
+/// Returns the target size scaled to `nodes` nodes.
 pub fn scaled_size(nodes: usize) -> Size {
     let target = Size::TARGET;
     let scaled = |whole: usize| (whole * nodes).div_ceil(target.nodes);
@@ -67,7 +67,7 @@
     }
 }
 
-/// The three sizes of the page.
+/// Returns the three sizes shown on the page.
 pub fn page_sizes() -> [Size; 3] {
     [
         scaled_size(SMALL_NODES),
@@ -76,12 +76,12 @@
     ]
 }
 
-/// Requests a second at this size.
+/// Peak requests per second at this size.
 pub fn request_rate(size: &Size) -> f64 {
     PEAK_REQUEST_RATE * size.nodes as f64 / Size::TARGET.nodes as f64
 }
 
-/// Requests a second at one node of this size.
+/// Peak requests per second at one node.
 pub fn node_request_rate(size: &Size) -> f64 {
     request_rate(size) / size.nodes as f64
 }
--- a/crates/capacity/src/budget/model/node.rs
+++ b/crates/capacity/src/budget/model/node.rs
@@ -1,21 +1,21 @@
-//! Memory and processor time that a node takes for control. The tables of roles and the ranking call it.
+//! Memory and processor time that control takes at a node, for the tables of roles and the ranking.
 
 use super::costs::Costs;
 use super::program_limits;
 use crate::scale::report::Size;
 
-/// Servers of the pool at which `pool_bytes` was measured.
+/// Servers in the pool at which `pool_bytes` was measured.
 const MEASURED_POOL_SERVERS: f64 = 8.0;
 /// Services in a region at the target.
 const REGION_SERVICES: f64 = 650.0;
-/// Scans of the listed states for expired ones, a second.
+/// Scans per second for expired listed states.
 const EXPIRY_SCAN_RATE: f64 = 4.0;
-/// Rounds a second in which verdicts are applied to all pools.
+/// Rounds per second in which verdicts are applied to all pools.
 const VERDICT_RATE: f64 = 10.0;
-/// Most servers that the quorum ejects, of all.
+/// Largest fraction of all servers that the quorum ejects.
 const EJECTED_RATIO_LIMIT: f64 = 0.2;
 
-/// Bytes that a node holds, by resource.
+/// Memory of a node by resource, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeMemory {
     /// All routes.
@@ -33,7 +33,7 @@
 }
 
 impl NodeMemory {
-    /// The sum.
+    /// Returns the sum over all resources.
     pub fn total(&self) -> f64 {
         let NodeMemory {
             routes,
@@ -52,7 +52,7 @@
     (costs.pool_bytes - MEASURED_POOL_SERVERS * costs.endpoint_bytes).max(0.0)
 }
 
-/// Bytes that a node holds.
+/// Computes the memory of a node at this size.
 pub fn memory(costs: &Costs, size: &Size) -> NodeMemory {
     NodeMemory {
         routes: size.routes as f64 * costs.route_bytes,
@@ -64,13 +64,13 @@
     }
 }
 
-/// Bytes of pools if a node creates only those of its region's services.
+/// Bytes of pools, without their servers, if a node creates only those of the services in its region.
 pub fn region_pool_bytes(costs: &Costs) -> f64 {
     REGION_SERVICES * empty_pool_bytes(costs)
 }
 
-/// Processor time of a node in a cluster without requests: each pool has a timer of its own and is checked by itself, so that the
-/// line through 64 to 256 services goes on.
+/// Processor time of a node in a cluster without requests. The line measured from 64 to 256 services extends further because
+/// each pool has its own timer and is checked separately.
 pub fn idle_cores(costs: &Costs, size: &Size) -> f64 {
     costs.idle_node_cores + size.services as f64 * costs.idle_service_cores
 }
@@ -80,8 +80,8 @@
     EXPIRY_SCAN_RATE * size.servers as f64 * costs.expiry_seconds
 }
 
-/// Servers that can be ejected at once: the table is full, with as many witnesses on each as the quorum takes, or a fifth of the
-/// servers.
+/// Largest number of servers ejected at once: a full verdict table with a quorum of witnesses for each server, or a fifth of the
+/// servers, whichever is smaller.
 pub fn max_ejected_servers(size: &Size) -> f64 {
     (program_limits::VERDICTS / program_limits::QUORUM_WITNESSES)
         .floor()
--- a/crates/capacity/src/budget/model/program_limits.rs
+++ b/crates/capacity/src/budget/model/program_limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the node's program, each from the source file that its comment names. Requirements are compared with them; the test
-//! `capacity` compares them with the program.
+//! Limits of the node program; each comment names the source file that defines the limit. Requirements are compared with these,
+//! and the test `capacity` checks them against the program.
 
 /// Services in a file: `crates/config/src/check.rs`.
 pub const SERVICES: f64 = 4096.0;
@@ -29,7 +29,7 @@
 pub const SERVER_CONNECTIONS: f64 = 430.0;
 /// Datagrams with updates a second: `gossip_fanout` in each `gossip_interval`, `crates/cluster/src/fleet`.
 pub const GOSSIP_DATAGRAM_RATE: f64 = 30.0;
-/// Age up to which the echo of a clock counts, in seconds: `crates/cluster/src/freshness.rs`.
+/// Largest age at which a clock echo is accepted, in seconds: `crates/cluster/src/freshness.rs`.
 pub const ECHO_AGE_SECONDS: f64 = 120.0;
 /// Window in which outcomes are retained, in seconds: `crates/cluster/src/observer.rs`.
 pub const OUTCOME_WINDOW_SECONDS: f64 = 5.0;
--- a/crates/capacity/src/budget/model/tenants.rs
+++ b/crates/capacity/src/budget/model/tenants.rs
@@ -1,14 +1,15 @@
-//! Tenants and their quotas across nodes. The table of alternatives calls it.
+//! Tenants and their quotas across nodes, for the table of alternatives.
 
 use super::{node_request_rate, program_limits};
 use crate::scale::report::Size;
 
-/// Share of requests whose tenant sent none within this window of seconds, if all tenants send alike.
+/// Fraction of requests whose tenant sent none to the node within the preceding `window` seconds, if all tenants send at the same
+/// rate.
 pub fn uncached_request_ratio(size: &Size, window: f64) -> f64 {
     (-node_request_rate(size) * window / size.tenants as f64).exp()
 }
 
-/// Tenants that send to one node within this window of seconds, at most.
+/// Upper bound on the tenants that send to one node within `window` seconds.
 pub fn active_tenants(size: &Size, window: f64) -> f64 {
     (node_request_rate(size) * window).min(size.tenants as f64)
 }
--- a/crates/capacity/src/budget/page.rs
+++ b/crates/capacity/src/budget/page.rs
@@ -17,7 +17,7 @@
     format!("{START_MARKER}{name} -->\n")
 }
 
-/// The range of a table in a page: what is between its marker and the next end.
+/// Returns the byte range between the start marker of a table and the next end marker.
 fn table_range(page: &str, name: &str) -> Result<Range<usize>, Error> {
     let missing = || Error::MissingMarker(name.to_owned());
     let marker = start_marker(name);
@@ -25,17 +25,17 @@
     let rest = page.get(start..).ok_or_else(missing)?;
     let end = start + rest.find(END_MARKER).ok_or_else(missing)?;
     let content = page.get(start..end).ok_or_else(missing)?;
-    // The next table's marker before this one's end: the end is missing.
+    // Another start marker before the end marker means that this table's end marker is missing.
     if content.contains(START_MARKER) {
         return Err(missing());
     }
     Ok(start..end)
 }
 
-/// The page with these tables in their places.
+/// Returns the page with the content of each given table replaced.
 ///
 /// # Errors
-/// If the page has no marker of one.
+/// If the page lacks a marker of one of the tables.
 pub fn replace_tables(page: &str, tables: &Tables) -> Result<String, Error> {
     let mut page = page.to_owned();
     for (name, table) in tables {
@@ -45,10 +45,10 @@
     Ok(page)
 }
 
-/// The names of tables whose text differs in the page.
+/// Returns the names of the tables whose content differs from the page.
 ///
 /// # Errors
-/// If the page has no marker of one.
+/// If the page lacks a marker of one of the tables.
 pub fn stale_tables(page: &str, tables: &Tables) -> Result<Vec<&'static str>, Error> {
     let mut stale = Vec::new();
     for (name, table) in tables {
--- a/crates/capacity/src/budget/provenance.rs
+++ b/crates/capacity/src/budget/provenance.rs
@@ -1,22 +1,22 @@
-//! How well a figure is known. Inputs state it, and each row of a table shows it.
+//! Provenance of figures. Inputs state it, and each row of a table shows it.
 
 use serde::Deserialize;
 
-/// Where a figure comes from.
+/// Whether a figure is measured, derived or assumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Provenance {
-    /// A command, at a commit.
+    /// Printed by a command at a commit.
     Measured,
-    /// A formula on other figures, or the code.
+    /// Computed from other figures, or read off the code.
     #[serde(rename = "worked-out")]
     Derived,
-    /// No source: an assumption.
+    /// Assumed, without a source.
     Assumed,
 }
 
 impl Provenance {
-    /// The label on the page.
+    /// Returns the label shown on the page.
     pub fn label(self) -> &'static str {
         match self {
             Provenance::Measured => "measured",
--- a/crates/capacity/src/budget/ranking/mod.rs
+++ b/crates/capacity/src/budget/ranking/mod.rs
@@ -1,4 +1,4 @@
-//! What does not fit, by how far: the first row is what to build first. The table `ranking` shows it.
+//! Ranks the amounts over budget by their excess; the first row is the most urgent. Generates the table `ranking`.
 
 mod shortfalls;
 
@@ -10,10 +10,10 @@
 /// Processor time of one thread, in cores.
 const THREAD_CORES: f64 = 1.0;
 
-/// An amount at the target beside its budget.
+/// An amount at the target, compared with its budget.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetComparison {
-    /// What it is.
+    /// Description of the amount.
     pub name: &'static str,
     /// The amount at the target.
     pub amount: f64,
@@ -21,7 +21,7 @@
     pub budget: f64,
     /// The unit of both.
     pub unit: Unit,
-    /// It depends on an assumption.
+    /// Whether the amount depends on an assumption.
     pub is_assumed: bool,
 }
 
@@ -36,42 +36,42 @@
         }
     }
 
-    /// Bytes a second at a node.
+    /// Compares with the traffic budget of a node, in bytes a second.
     fn traffic(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, budget::NODE_TRAFFIC, Unit::BytesPerSecond)
     }
 
-    /// Processor time at a node.
+    /// Compares with the processor budget of a node, in cores.
     fn cores(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, budget::NODE_CORES, Unit::Cores)
     }
 
-    /// Processor time of a program with one thread.
+    /// Compares with the processor time of one thread, in cores.
     fn thread(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, THREAD_CORES, Unit::Cores)
     }
 
-    /// Memory at a node.
+    /// Compares with the memory budget of a node, in bytes.
     fn memory(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, budget::NODE_MEMORY_BYTES, Unit::Bytes)
     }
 
-    /// Seconds until a change is in force.
+    /// Compares with the time until a change has to be in force, in seconds.
     fn until_in_force(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, budget::IN_FORCE_SECONDS, Unit::Seconds)
     }
 
-    /// A number of things beside a limit of the program.
+    /// Compares a count with a limit of the program.
     fn count(name: &'static str, amount: f64, limit: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, limit, Unit::Count)
     }
 
-    /// Bytes beside a limit of the program.
+    /// Compares a size in bytes with a limit of the program.
     fn bytes(name: &'static str, amount: f64, limit: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, limit, Unit::Bytes)
     }
 
-    /// The same, which depends on an assumption.
+    /// Marks the amount as dependent on an assumption.
     fn assumed(self) -> BudgetComparison {
         BudgetComparison {
             is_assumed: true,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// How many times over the budget the amount is.
+    /// Returns the amount as a multiple of the budget.
     pub fn factor(&self) -> f64 {
         self.amount / self.budget
     }
@@ -90,19 +90,19 @@
     }
 }
 
-/// A mechanism, and what of it is over its budget.
+/// A mechanism and its amounts that are over budget.
 #[derive(Clone, Debug)]
 pub struct Shortfall {
     /// What does not fit.
     pub name: &'static str,
-    /// The mechanism behind it today, by source file; or that there is none.
+    /// The source files that implement it today, or a note that nothing does.
     pub mechanism: &'static str,
     /// The amounts that are over their budgets.
     pub comparisons: Vec<BudgetComparison>,
 }
 
 impl Shortfall {
-    /// The greatest factor.
+    /// Returns the largest factor of all comparisons.
     pub fn factor(&self) -> f64 {
         let factors = self.comparisons.iter().map(BudgetComparison::factor);
         factors.fold(0.0, f64::max)
@@ -126,7 +126,7 @@
     }
 }
 
-/// All that does not fit at the target, the worst first.
+/// Returns the mechanisms that are over budget at the target, the largest factor first.
 pub fn shortfalls(costs: &Costs) -> Vec<Shortfall> {
     let mut all = shortfalls::all(costs);
     for shortfall in &mut all {
@@ -139,7 +139,7 @@
     all
 }
 
-/// The ranking as a table.
+/// Renders the ranking as a table.
 pub fn table(costs: &Costs) -> String {
     let header = [
         "",
--- a/crates/capacity/src/budget/ranking/shortfalls.rs
+++ b/crates/capacity/src/budget/ranking/shortfalls.rs
@@ -9,7 +9,7 @@
 use crate::budget::worst_cases::rollout_restart_rate;
 use crate::scale::report::Size;
 
-/// All mechanisms, with what each of them takes at the target.
+/// Returns all mechanisms with their amounts at the target, including those within budget.
 pub(super) fn all(costs: &Costs) -> Vec<Shortfall> {
     vec![
         settings_changes(costs),
@@ -216,9 +216,9 @@
     let target = Size::TARGET;
     let nodes = target.nodes as f64;
     let restart_rate = rollout_restart_rate();
-    // Not extended to the target: it grows faster than the nodes.
-    let quiet = 2.0 * costs.gossip_traffic_1500;
-    let traffic = quiet + gossip::membership_traffic(costs, &target, restart_rate);
+    // The traffic at 1,500 nodes is used as it is: it grows faster than the number of nodes, so a line doesn't fit it.
+    let quiet_traffic = 2.0 * costs.gossip_traffic_1500;
+    let traffic = quiet_traffic + gossip::membership_traffic(costs, &target, restart_rate);
     Shortfall {
         name: "who is there: all nodes in one fleet",
         mechanism: "`crates/cluster/src/fleet`, `members.rs`",
--- a/crates/capacity/src/budget/requirement.rs
+++ b/crates/capacity/src/budget/requirement.rs
@@ -7,25 +7,25 @@
 use super::units::{amount, times, Unit};
 use crate::scale::report::Size;
 
-/// A change of the design, and the amount at the target with it.
+/// A possible change of the design, and the amount at the target with that change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Improvement {
-    /// The change.
+    /// Description of the change.
     pub name: &'static str,
-    /// The amount at the target.
+    /// The amount at the target with the change.
     pub amount: f64,
 }
 
 /// Whether an amount is within its budget.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is.
+    /// The amount is within its budget.
     Fits,
-    /// It is not, and would be with an improvement that is not there yet.
+    /// The amount is over budget, and would fit with an improvement that is not implemented yet.
     FitsWith(Improvement),
-    /// It is not, by this factor.
+    /// The amount is this multiple of its budget.
     DoesNotFit(f64),
-    /// It has no budget.
+    /// The amount has no budget.
     NoBudget,
     /// The amount at the target is not known.
     NotKnown,
@@ -38,7 +38,7 @@
     pub name: &'static str,
     /// How the amounts are computed, in words.
     pub derivation: &'static str,
-    /// How well they are known: as well as the worst of the inputs.
+    /// The weakest provenance among the inputs.
     pub provenance: Provenance,
     /// The amounts at the [`page_sizes`](model::page_sizes), as far as they are known.
     pub amounts: [Option<f64>; 3],
@@ -46,9 +46,9 @@
     pub budget: Option<f64>,
     /// The unit of the amounts and the budget.
     pub unit: Unit,
-    /// The mechanism behind it, by source file; or that there is none.
+    /// The source files that implement the mechanism, or a note that nothing does.
     pub mechanism: &'static str,
-    /// What would reduce it.
+    /// The improvement that would reduce the amount.
     pub improvement: Option<Improvement>,
 }
 
@@ -71,38 +71,38 @@
         }
     }
 
-    /// A requirement that follows from measured inputs alone.
+    /// Creates a requirement that follows from measured inputs alone.
     pub fn measured(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
         Requirement::new(name, unit, Provenance::Measured, derivation)
     }
 
-    /// A requirement that a formula gives.
+    /// Creates a requirement that a formula derives from other figures.
     pub fn derived(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
         Requirement::new(name, unit, Provenance::Derived, derivation)
     }
 
-    /// A requirement that depends on an assumption.
+    /// Creates a requirement that depends on an assumption.
     pub fn assumed(name: &'static str, unit: Unit, derivation: &'static str) -> Requirement {
         Requirement::new(name, unit, Provenance::Assumed, derivation)
     }
 
-    /// With the amount that a formula gives at each size.
+    /// Sets the amount at each page size from a formula.
     pub fn at_sizes(self, formula: impl Fn(&Size) -> f64) -> Requirement {
         let amounts = model::page_sizes().map(|size| Some(formula(&size)));
         self.amounts(amounts)
     }
 
-    /// With the same amount at all sizes.
+    /// Sets the same amount at all sizes.
     pub fn constant(self, amount: f64) -> Requirement {
         self.amounts([Some(amount); 3])
     }
 
-    /// With these amounts, some of which may not be known.
+    /// Sets the amounts at the page sizes; `None` where an amount is not known.
     pub fn amounts(self, amounts: [Option<f64>; 3]) -> Requirement {
         Requirement { amounts, ..self }
     }
 
-    /// With a budget at the target.
+    /// Sets the budget at the target.
     pub fn budget(self, budget: f64) -> Requirement {
         Requirement {
             budget: Some(budget),
@@ -110,12 +110,12 @@
         }
     }
 
-    /// With the mechanism behind it.
+    /// Sets the text on the mechanism.
     pub fn mechanism(self, mechanism: &'static str) -> Requirement {
         Requirement { mechanism, ..self }
     }
 
-    /// With what would reduce it.
+    /// Sets the improvement that would reduce the amount.
     pub fn improved_by(self, name: &'static str, amount: f64) -> Requirement {
         Requirement {
             improvement: Some(Improvement { name, amount }),
@@ -123,13 +123,13 @@
         }
     }
 
-    /// The amount at the target, if it is known.
+    /// Returns the amount at the target, if it is known.
     pub fn at_target(&self) -> Option<f64> {
         let [.., target] = self.amounts;
         target
     }
 
-    /// Whether it fits at the target.
+    /// Compares the amount at the target with the budget.
     pub fn verdict(&self) -> Verdict {
         let Some(budget) = self.budget else {
             return Verdict::NoBudget;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How many times over its budget it is at the target.
+    /// Returns the amount at the target as a multiple of the budget; 0 if either is unknown.
     fn excess_factor(&self) -> f64 {
         self.at_target()
             .zip(self.budget)
@@ -186,7 +186,7 @@
     }
 }
 
-/// Requirements as a table.
+/// Renders requirements as a table.
 pub fn table(requirements: &[Requirement]) -> String {
     let header = [
         "what",
--- a/crates/capacity/src/budget/roles/alternatives.rs
+++ b/crates/capacity/src/budget/roles/alternatives.rs
@@ -1,4 +1,4 @@
-//! Where else a node's state could be stored: whole, compact, by region or fetched on demand. The table `elsewhere` shows it.
+//! Alternatives for storing a node's state: whole, compact, by region or fetched on demand. Generates the table `elsewhere`.
 
 use crate::budget::markdown;
 use crate::budget::model::costs::Costs;
@@ -8,18 +8,18 @@
 
 /// A peer in a compact table, in bytes.
 const COMPACT_PEER_BYTES: f64 = 32.0;
-/// Seconds for which fetched tenants are cached.
+/// The shorter of the two cache times of fetched tenants, in seconds.
 const SHORT_CACHE_SECONDS: f64 = 60.0;
-/// The longer of the two cache times, in seconds.
+/// The longer of the two cache times of fetched tenants, in seconds.
 const LONG_CACHE_SECONDS: f64 = 600.0;
 
-/// The sizes of a resource at a node.
+/// Bytes of a resource at a node, stored as today and in a compact table.
 struct Stored {
     whole: f64,
     compact: f64,
 }
 
-/// One resource, and what each alternative takes.
+/// The table row of one resource, with the cost of each alternative.
 struct Alternative {
     resource: &'static str,
     whole: String,
@@ -30,7 +30,7 @@
 }
 
 impl Alternative {
-    /// A resource that each node holds whole today.
+    /// Creates the row of a resource that each node stores whole today.
     fn stored(resource: &'static str, stored: &Stored, on_demand: String) -> Alternative {
         Alternative {
             resource,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A resource that no node holds today.
+    /// Creates the row of a resource that no node stores today.
     fn absent(resource: &'static str, on_demand: &str) -> Alternative {
         Alternative {
             resource,
@@ -78,7 +78,7 @@
     amount(value, Unit::Seconds)
 }
 
-/// The alternatives as a table.
+/// Renders the alternatives as a table.
 pub fn table(costs: &Costs) -> String {
     let header = [
         "what",
@@ -127,7 +127,7 @@
     }
 }
 
-/// The share of requests whose tenant is not cached.
+/// Renders the percentage of requests whose tenant is not cached.
 fn uncached_requests(cache_seconds: f64) -> String {
     let ratio = tenants::uncached_request_ratio(&Size::TARGET, cache_seconds);
     format!("{:.0} of 100", 100.0 * ratio)
--- a/crates/capacity/src/budget/roles/control_machine.rs
+++ b/crates/capacity/src/budget/roles/control_machine.rs
@@ -1,4 +1,4 @@
-//! What a machine set aside for control requires. The table `control` shows it.
+//! Requirements of a machine dedicated to control. Generates the table `control`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{self, budget, distribution, settings};
@@ -6,11 +6,11 @@
 use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-/// Control machines that distribute settings, one in each zone; the others keep the log.
+/// Control machines that distribute settings, one in each zone; the others store the log of changes.
 const RELAYS: f64 = model::ZONES;
 /// A node's entry in the table of versions, in bytes.
 const VERSION_BYTES: f64 = 16.0;
-/// The page's note on the mechanism.
+/// Note on the mechanism, as shown on the page.
 const MECHANISM: &str = "none; worked out for 13 that tell changes on, one in each zone, and 5 \
                          that keep the record";
 
@@ -19,7 +19,7 @@
     distribution::nodes_per_machine(size, RELAYS)
 }
 
-/// What a control machine requires.
+/// Returns the requirements of a control machine.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     let mut requirements = changes(costs);
     requirements.extend(whole_files(costs));
@@ -27,7 +27,7 @@
     requirements
 }
 
-/// Distributing each change by itself.
+/// Requirements if each change is distributed separately.
 fn changes(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived("nodes of one that tells on", Unit::Count, "nodes, zones")
@@ -56,7 +56,7 @@
     ]
 }
 
-/// Distributing whole files.
+/// Requirements if whole files are distributed.
 fn whole_files(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
@@ -87,7 +87,7 @@
     ]
 }
 
-/// The table of which node has which version.
+/// Memory of the table that maps nodes to their settings versions.
 fn versions() -> Requirement {
     Requirement::assumed(
         "which node has which version",
--- a/crates/capacity/src/budget/roles/lease_keeper.rs
+++ b/crates/capacity/src/budget/roles/lease_keeper.rs
@@ -1,16 +1,16 @@
-//! What a keeper of leases requires. The table `keeper` shows it.
+//! Requirements of a lease keeper. Generates the table `keeper`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{self, leases, program_limits};
 use crate::budget::requirement::Requirement;
 use crate::budget::units::Unit;
 
-/// Processor time of a keeper, which has one thread.
+/// Processor budget of a keeper, which has one thread, in cores.
 const KEEPER_CORES: f64 = 1.0;
-/// The source of a keeper.
+/// Source file of the keeper, as shown on the page.
 const MECHANISM: &str = "`crates/lease/src/keeper/mod.rs`";
 
-/// What a keeper of leases requires.
+/// Returns the requirements of a lease keeper.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     let mut requirements = names(costs);
     requirements.extend(renewals(costs));
--- a/crates/capacity/src/budget/roles/list_service.rs
+++ b/crates/capacity/src/budget/roles/list_service.rs
@@ -1,19 +1,19 @@
-//! What a service that serves endpoint lists requires. The table `lists` shows it.
+//! Requirements of a service that serves endpoint lists. Generates the table `lists`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{budget, distribution, endpoint_lists, program_limits};
 use crate::budget::requirement::Requirement;
 use crate::budget::units::Unit;
 
-/// The page's note on the mechanism.
+/// Note on the mechanism, as shown on the page.
 const MECHANISM: &str = "not ours; worked out for one service that all nodes ask";
 
-/// What a list service requires.
+/// Returns the requirements of a list service.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     [watches(costs), whole_lists(costs)].concat()
 }
 
-/// Watches, their heartbeats and changes.
+/// Requirements for watches, their heartbeats and changes.
 fn watches(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived("watches that it holds", Unit::Count, "nodes, services")
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Whole lists.
+/// Requirements for sending whole lists, and the length of one list.
 fn whole_lists(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
--- a/crates/capacity/src/budget/roles/mod.rs
+++ b/crates/capacity/src/budget/roles/mod.rs
@@ -1,17 +1,17 @@
-//! What each role requires at three sizes. The page's tables of roles come from here.
+//! Requirements of each role at the three sizes of the page, and their tables.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`node_state`] | the state of a node |
-//! | [`node_messages`] | what it sends and receives |
-//! | [`node_processor`] | its processor time |
-//! | [`node_connections`] | its connections |
-//! | [`control_machine`] | a machine set aside for control |
-//! | [`lease_keeper`] | a keeper of leases |
+//! | [`node_messages`] | control messages of a node |
+//! | [`node_processor`] | processor time of a node |
+//! | [`node_connections`] | connections of a node |
+//! | [`control_machine`] | a machine dedicated to control |
+//! | [`lease_keeper`] | a lease keeper |
 //! | [`list_service`] | a service that serves endpoint lists |
 //! | [`server`] | a server |
 //! | [`operator`] | manual operations |
-//! | [`alternatives`] | where else a node's state could be stored |
+//! | [`alternatives`] | alternatives for storing a node's state |
 
 mod alternatives;
 mod control_machine;
@@ -29,7 +29,7 @@
 use super::requirement::{table, Requirement};
 use super::Tables;
 
-/// The tables of all roles, by their names.
+/// Renders the tables of all roles.
 pub fn tables(costs: &Costs, runs: &[MeasuredRun]) -> Tables {
     let requirements: [(&str, Vec<Requirement>); 9] = [
         ("node-state", node_state::requirements(costs)),
--- a/crates/capacity/src/budget/roles/node_connections.rs
+++ b/crates/capacity/src/budget/roles/node_connections.rs
@@ -1,11 +1,11 @@
-//! Connections of a node. The table `node-connections` shows them.
+//! Connections of a node. Generates the table `node-connections`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{self, connections, program_limits};
 use crate::budget::requirement::Requirement;
 use crate::budget::units::Unit;
 
-/// What a node requires of connections.
+/// Returns the requirements for connections of a node.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived("watches of lists", Unit::Count, "services")
--- a/crates/capacity/src/budget/roles/node_messages.rs
+++ b/crates/capacity/src/budget/roles/node_messages.rs
@@ -1,4 +1,4 @@
-//! What a node sends and receives for control. The table `node-messages` shows it.
+//! Control messages that a node sends and receives. Generates the table `node-messages`.
 
 use crate::budget::measurements::MeasuredRun;
 use crate::budget::model::costs::Costs;
@@ -7,10 +7,10 @@
 use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-/// The scale run without updates.
+/// Name of the scale run without updates.
 const QUIET_RUN: &str = "quiet";
 
-/// What a node requires for the messages of control.
+/// Returns the traffic requirements of control at a node.
 pub fn requirements(costs: &Costs, runs: &[MeasuredRun]) -> Vec<Requirement> {
     let mut requirements = settings_changes(costs);
     requirements.extend(server_lists(costs));
@@ -20,7 +20,7 @@
     requirements
 }
 
-/// Changes of the settings.
+/// Traffic of settings changes.
 fn settings_changes(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
@@ -53,7 +53,7 @@
     ]
 }
 
-/// Endpoint lists.
+/// Traffic of endpoint lists.
 fn server_lists(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::assumed(
@@ -87,7 +87,7 @@
     ]
 }
 
-/// Bytes a second, in and out, of a node without updates at this size, if a run measured it.
+/// Traffic, in and out, in bytes per second, of a node without updates at this size, if a run measured it.
 fn measured_quiet_traffic(runs: &[MeasuredRun], size: &Size) -> Option<f64> {
     runs.iter()
         .map(|measured| &measured.run)
@@ -95,10 +95,10 @@
         .map(|run| run.per_node.bytes())
 }
 
-/// Gossip without updates, at the sizes at which it was measured.
+/// Traffic of gossip without updates, at the sizes at which it was measured.
 fn quiet_cluster(costs: &Costs, runs: &[MeasuredRun]) -> Requirement {
     let [small, medium, target] = model::page_sizes();
-    // As much is received as is sent.
+    // The inputs count sent bytes only; a node receives as much as it sends.
     let small_input = 2.0 * costs.gossip_traffic_300;
     let medium_input = 2.0 * costs.gossip_traffic_1500;
     let amounts = [
@@ -115,7 +115,7 @@
         .mechanism("`crates/cluster`")
 }
 
-/// Gossip with updates.
+/// Traffic of gossip with updates.
 fn cluster_updates(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::assumed(
@@ -140,7 +140,7 @@
     ]
 }
 
-/// Requests for leases.
+/// Traffic of lease requests.
 fn leases(costs: &Costs) -> Requirement {
     Requirement::derived(
         "leases: a node that waits for one in each service",
--- a/crates/capacity/src/budget/roles/node_processor.rs
+++ b/crates/capacity/src/budget/roles/node_processor.rs
@@ -1,4 +1,4 @@
-//! Processor time that a node takes for control. The table `node-processor` shows it.
+//! Processor time of control at a node. Generates the table `node-processor`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{budget, endpoint_lists, gossip, node, settings};
@@ -6,7 +6,7 @@
 use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-/// What a node requires of its processor.
+/// Returns the processor requirements of a node.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     [
         settings_and_pools(costs),
@@ -17,7 +17,7 @@
     .concat()
 }
 
-/// Reading settings, and idle pools.
+/// Processor time of reading settings and of idle pools.
 fn settings_and_pools(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
@@ -49,7 +49,7 @@
     ]
 }
 
-/// Endpoint lists and the verdicts on their servers.
+/// Processor time of endpoint lists and of the verdicts on their servers.
 fn server_lists(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
@@ -82,7 +82,7 @@
     ]
 }
 
-/// Membership of the cluster.
+/// Processor time of cluster membership.
 fn cluster(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
@@ -110,7 +110,7 @@
         * gossip::member_update_seconds(costs, size.nodes as f64)
 }
 
-/// Work that delays requests.
+/// Computations that delay requests.
 fn requests(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::measured("a choice among 1,000 servers", Unit::Seconds, "one core")
--- a/crates/capacity/src/budget/roles/node_state.rs
+++ b/crates/capacity/src/budget/roles/node_state.rs
@@ -1,4 +1,4 @@
-//! What a node holds, and the limits of what it may hold. The table `node-state` shows it.
+//! Memory of a node's state, and limits on that state. Generates the table `node-state`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{self, budget, node, program_limits, settings};
@@ -6,10 +6,10 @@
 use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-/// Copies of a verdict in the table.
+/// Copies of each verdict in the verdict table.
 const COPIES_PER_VERDICT: f64 = 3.0;
 
-/// Bytes of the parts of a node's state at the target, in compact tables.
+/// Bytes of a node's state at the target in compact tables, by resource.
 struct Compact {
     routes: f64,
     tenants: f64,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a node requires for its state.
+/// Returns the requirements of a node's state.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     [
         configured_state(costs),
@@ -42,7 +42,7 @@
     .concat()
 }
 
-/// Memory of what the settings and lists configure.
+/// Memory of state that comes from the settings and endpoint lists.
 fn configured_state(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::measured("routes", Unit::Bytes, "`route_bytes` each")
@@ -94,7 +94,7 @@
     ]
 }
 
-/// Memory of the rest, the sum, and memory at particular moments.
+/// Memory of the remaining state, the sum, memory while a file is read, and memory of a full verdict table.
 fn learned_state(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::measured("other nodes", Unit::Bytes, "`peer_bytes` each")
@@ -132,7 +132,7 @@
     ]
 }
 
-/// Bytes of a node's state with all improvements, and with the peers of its region alone.
+/// Bytes of a node's state with all improvements and with only the peers of its region.
 fn improved_total(costs: &Costs) -> f64 {
     let region_nodes = Size::TARGET.nodes as f64 / model::REGIONS;
     Compact::at_target(costs).total()
@@ -141,7 +141,7 @@
         + costs.idle_node_bytes
 }
 
-/// Limits of a settings file.
+/// Limits on the entries of a settings file.
 fn configuration_limits() -> Vec<Requirement> {
     vec![
         Requirement::derived("services in a file", Unit::Count, "size")
@@ -155,7 +155,7 @@
     ]
 }
 
-/// Limits of what a node retains of peers and servers.
+/// Limits on the peers and servers that a node tracks.
 fn observation_limits() -> Vec<Requirement> {
     vec![
         Requirement::derived(
--- a/crates/capacity/src/budget/roles/operator.rs
+++ b/crates/capacity/src/budget/roles/operator.rs
@@ -1,4 +1,4 @@
-//! What manual operations require. The table `operator` shows them.
+//! Requirements of manual operations. Generates the table `operator`.
 
 use crate::budget::model::costs::Costs;
 use crate::budget::model::{self, budget, gossip, program_limits};
@@ -6,15 +6,15 @@
 use crate::budget::units::Unit;
 use crate::scale::report::Size;
 
-/// A line of `crates/node/src/report.rs` on one member, in bytes.
+/// Length of the line on one member in the response of `crates/node/src/report.rs`, in bytes.
 const MEMBER_LINE_BYTES: f64 = 36.0;
 
-/// Bans of all servers of a zone: those of the target, scaled by the nodes.
+/// Number of bans for all servers of a zone: the number at the target, scaled by the nodes.
 fn zone_bans(size: &Size) -> f64 {
     model::ZONE_SERVERS * size.nodes as f64 / Size::TARGET.nodes as f64
 }
 
-/// What an operator's commands require.
+/// Returns the requirements of an operator's commands.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::derived(
--- a/crates/capacity/src/budget/roles/server.rs
+++ b/crates/capacity/src/budget/roles/server.rs
@@ -1,11 +1,11 @@
-//! What a server that nodes send requests to has to handle. The table `server` shows it.
+//! Load on a server that nodes send requests to. Generates the table `server`.
 
 use crate::budget::model::connections;
 use crate::budget::model::costs::Costs;
 use crate::budget::requirement::Requirement;
 use crate::budget::units::Unit;
 
-/// What a server requires.
+/// Returns the requirements of a server.
 pub fn requirements(costs: &Costs) -> Vec<Requirement> {
     vec![
         Requirement::assumed("requests", Unit::CountPerSecond, "evenly spread")
--- a/crates/capacity/src/budget/scale_page/cells.rs
+++ b/crates/capacity/src/budget/scale_page/cells.rs
@@ -1,16 +1,16 @@
-//! Figures of the runs of one report as text. The tables of the page of scale runs call these.
+//! Table cells for the page of scale runs, each from the runs of one report.
 
 use crate::budget::markdown::NOT_MEASURED;
 use crate::budget::units::{amount, Unit};
 use crate::scale::record::{AddedLatency, Record};
 use crate::scale::report::{RequestTimes, Run, Source, Times, Traffic};
 
-/// The kind of traffic that reports faulty servers.
+/// Kind of the traffic that carries verdicts on servers.
 const VERDICT_TRAFFIC: &str = "verdicts";
-/// The run in which changes arrive at a steady rate.
+/// Name of the run in which changes arrive at a steady rate.
 pub(super) const CHANGES_RUN: &str = "changes";
 
-/// Runs of a name and a source.
+/// Returns the runs with this name and source.
 pub(super) fn runs<'a>(
     record: &'a Record,
     name: &'a str,
@@ -23,19 +23,19 @@
         .filter(move |run| run.name == name && run.source == source)
 }
 
-/// Runs of hollow nodes of a name.
+/// Returns the runs of hollow nodes with this name.
 pub(super) fn hollow_runs<'a>(record: &'a Record, name: &'a str) -> impl Iterator<Item = &'a Run> {
     runs(record, name, Source::HollowNodes)
 }
 
-/// How many nodes a single run had.
+/// Returns the number of nodes of a single run; 0 if the report has no quiet run.
 pub(super) fn node_count(record: &Record) -> usize {
     hollow_runs(record, super::QUIET_RUN)
         .next()
         .map_or(0, |run| run.size.nodes)
 }
 
-/// One amount, or the smallest and the largest of several.
+/// Renders a single amount, or the smallest and the largest of several.
 fn range(values: impl Iterator<Item = f64>, unit: Unit) -> String {
     let mut sorted: Vec<f64> = values.collect();
     sorted.sort_by(f64::total_cmp);
@@ -55,17 +55,17 @@
     range(hollow_runs(record, name).map(rate), Unit::BytesPerSecond)
 }
 
-/// What a node receives in the runs of a name.
+/// Bytes per second that a node receives in the runs of a name.
 pub(super) fn received(record: &Record, name: &str) -> String {
     traffic(record, name, |traffic| traffic.bytes_in)
 }
 
-/// What a node sends in the runs of a name.
+/// Bytes per second that a node sends in the runs of a name.
 pub(super) fn sent(record: &Record, name: &str) -> String {
     traffic(record, name, |traffic| traffic.bytes_out)
 }
 
-/// What a node sends of verdicts in the runs of a name.
+/// Bytes per second of verdicts that a node sends in the runs of a name.
 pub(super) fn verdict_traffic(record: &Record, name: &str) -> String {
     range(
         hollow_runs(record, name).filter_map(sent_verdict_bytes),
@@ -81,7 +81,7 @@
         .map(|traffic| traffic.bytes_out)
 }
 
-/// Most bytes at any node within a second of the runs of a name.
+/// Most bytes at any node within one second, in the runs of a name.
 pub(super) fn peak_traffic(record: &Record, name: &str) -> String {
     range(
         hollow_runs(record, name).map(|run| run.per_node.peak_bytes),
@@ -120,13 +120,13 @@
     range(lists.map(|lists| quantile(&lists.times)), Unit::Seconds)
 }
 
-/// How busy the threads were in the runs of a name.
+/// Utilization of the driving threads in the runs of a name, in percent.
 pub(super) fn thread_utilization(record: &Record, name: &str) -> String {
     let percentages = record
         .utilizations
         .iter()
-        .filter(|busy| busy.run == name)
-        .map(|busy| busy.share * 100.0);
+        .filter(|utilization| utilization.run == name)
+        .map(|utilization| utilization.share * 100.0);
     let text = range(percentages, Unit::Count);
     if text == NOT_MEASURED {
         return text;
@@ -134,20 +134,20 @@
     format!("{text} %")
 }
 
-/// How long after an event all nodes knew all members.
+/// Time after an event until every node knew all members.
 pub(super) fn convergence_time(record: &Record, event: &str) -> String {
     let recorded = record
         .convergences
         .iter()
-        .find(|gathered| gathered.after == event);
-    match recorded.map(|gathered| gathered.seconds) {
+        .find(|convergence| convergence.after == event);
+    match recorded.map(|convergence| convergence.seconds) {
         Some(Some(seconds)) => amount(seconds, Unit::Seconds),
         Some(None) => "not in time".to_owned(),
         None => "not played".to_owned(),
     }
 }
 
-/// The median and the 99th percentile of the times of requests.
+/// Median and 99th percentile of the request times in one phase.
 pub(super) fn request_latency(record: &Record, phase: fn(&RequestTimes) -> Times) -> String {
     let Some(requests) = record.report.runs.iter().find_map(|run| run.requests) else {
         return NOT_MEASURED.to_owned();
@@ -158,7 +158,7 @@
         .join(", ")
 }
 
-/// What changes added to times of requests, round by round.
+/// Latency that changes added to requests, for each round.
 pub(super) fn added_latency(record: &Record, quantile: fn(&AddedLatency) -> f64) -> String {
     let rounds: Vec<String> = record
         .added_latencies
--- a/crates/capacity/src/budget/scale_page/mod.rs
+++ b/crates/capacity/src/budget/scale_page/mod.rs
@@ -1,10 +1,10 @@
-//! The tables of the page of scale runs, from their reports. The page generator calls it.
+//! Generates the tables of the page of scale runs from the reports of these runs.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`run_tables`] | tables with one column for each single run |
-//! | [`sweep_tables`] | lines through sweeps, and computations |
-//! | [`cells`] | figures of one report as text |
+//! | [`sweep_tables`] | tables of lines through sweeps, and of computations |
+//! | [`cells`] | table cells from the runs of one report |
 
 mod cells;
 mod run_tables;
@@ -17,11 +17,11 @@
 use cells::{hollow_runs, node_count};
 use std::path::Path;
 
-/// The run of a report that all single runs have.
+/// Name of the run that every report of a single run contains.
 const QUIET_RUN: &str = "quiet";
-/// The run of a report of sweeps.
+/// Name of the runs that are points of a sweep.
 const SWEEP_RUN: &str = "sweep";
-/// What notes on parts that were left out begin with.
+/// Prefix of notes on parts that were left out.
 const LEFT_OUT_NOTE: &str = "left out: ";
 
 /// A report and its file name.
@@ -30,7 +30,7 @@
     record: Record,
 }
 
-/// The reports of a folder: single runs by their nodes, and the sweep.
+/// The reports of a folder: single runs, sorted by their number of nodes, and the sweep.
 struct Reports {
     singles: Vec<NamedRecord>,
     sweep: Option<NamedRecord>,
@@ -56,7 +56,7 @@
         Ok(reports)
     }
 
-    /// Reports that are neither a sweep nor a single run have no place on the page.
+    /// Adds a report; ignores reports that are neither a sweep nor a single run, as the page doesn't show them.
     fn add(&mut self, named: NamedRecord) {
         let has_run = |name| hollow_runs(&named.record, name).next().is_some();
         if !named.record.report.slopes.is_empty() && has_run(SWEEP_RUN) {
@@ -71,7 +71,7 @@
     }
 }
 
-/// All tables of the page, by their names.
+/// Renders all tables of the page.
 ///
 /// # Errors
 /// If a report can't be read.
@@ -113,7 +113,7 @@
     ]
 }
 
-/// The parts of a report that were left out.
+/// Lists the parts of a report that were left out.
 fn left_out(record: &Record) -> String {
     if !record.is_partial {
         return "nothing".to_owned();
--- a/crates/capacity/src/budget/scale_page/run_tables.rs
+++ b/crates/capacity/src/budget/scale_page/run_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of the page of scale runs with one column for each single run. [`tables`](super::tables) calls them.
+//! Tables of the page of scale runs with one column for each single run.
 
 use super::cells::{
     added_latency, ban_times, convergence_time, hollow_runs, list_change_times, memory, node_count,
@@ -12,10 +12,10 @@
 use crate::scale::record::Record;
 use crate::scale::report::Source;
 
-/// The run with requests and changes.
+/// Name of the run with requests and changes.
 const REQUESTS_RUN: &str = "requests";
 
-/// A row: one cell for each single run.
+/// A table row with one cell for each single run and the budget.
 struct RunsRow {
     name: &'static str,
     cell: Box<dyn Fn(&Record) -> String>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The same row, with the budget of a node.
+    /// Sets the budget shown in the last column.
     fn budget(self, budget: f64, unit: Unit) -> RunsRow {
         RunsRow {
             budget: amount(budget, unit),
@@ -39,22 +39,22 @@
         }
     }
 
-    /// The same row, beside the traffic budget of a node.
+    /// Shows the traffic budget of a node.
     fn traffic_budget(self) -> RunsRow {
         self.budget(budget::NODE_TRAFFIC, Unit::BytesPerSecond)
     }
 
-    /// The same row, beside the processor budget of a node.
+    /// Shows the processor budget of a node.
     fn processor_budget(self) -> RunsRow {
         self.budget(budget::NODE_CORES, Unit::Cores)
     }
 
-    /// The same row, beside the memory budget of a node.
+    /// Shows the memory budget of a node.
     fn memory_budget(self) -> RunsRow {
         self.budget(budget::NODE_MEMORY_BYTES, Unit::Bytes)
     }
 
-    /// The same row, beside the time in which changes have to be in force.
+    /// Shows the time in which changes have to be in force.
     fn in_force_budget(self) -> RunsRow {
         self.budget(budget::IN_FORCE_SECONDS, Unit::Seconds)
     }
@@ -84,7 +84,7 @@
     markdown::table(&header, &rows)
 }
 
-/// What a node uses at rest and under changes.
+/// Renders the traffic, processor time and memory of a node at rest and under changes.
 pub(super) fn node_usage(singles: &[NamedRecord]) -> String {
     let mut rows = traffic_rows();
     rows.extend(processor_rows());
@@ -149,7 +149,7 @@
     ]
 }
 
-/// How long bans and changes of lists take until they are in force.
+/// Renders the times until bans and list changes are in force.
 pub(super) fn propagation_times(singles: &[NamedRecord]) -> String {
     let rows = [
         RunsRow::new("ban at one node, in force: p50", |record| {
@@ -181,7 +181,7 @@
     table(singles, &rows)
 }
 
-/// Latency of requests at rest and under changes.
+/// Renders the latency of requests at rest and under changes.
 pub(super) fn request_times(singles: &[NamedRecord]) -> String {
     let rows = [
         RunsRow::new("at rest: p50, p99", |record| {
@@ -205,9 +205,9 @@
 struct FaultScenario {
     /// The run that measures it, if there is one.
     run: Option<&'static str>,
-    /// The event after which the time to recover is recorded.
+    /// Name under which the recovery time is recorded.
     event: &'static str,
-    /// Its row.
+    /// Name of the table row.
     name: &'static str,
 }
 
@@ -240,7 +240,7 @@
 ];
 
 impl FaultScenario {
-    /// The time to recover, and the peak traffic of a node.
+    /// Renders the recovery time and the peak traffic of a node.
     fn cell(&self, record: &Record) -> String {
         let run = self.run.and_then(|run| hollow_runs(record, run).next());
         let peak = run.map(|run| amount(run.per_node.peak_bytes, Unit::Bytes));
@@ -252,7 +252,7 @@
     }
 }
 
-/// How nodes recover from faults.
+/// Renders the recovery of nodes from faults.
 pub(super) fn fault_scenarios(singles: &[NamedRecord]) -> String {
     let rows: Vec<RunsRow> = FAULT_SCENARIOS
         .iter()
--- a/crates/capacity/src/budget/scale_page/sweep_tables.rs
+++ b/crates/capacity/src/budget/scale_page/sweep_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of lines through sweeps and of computations. [`tables`](super::tables) calls them.
+//! Tables of lines through sweeps and of computations on the page of scale runs.
 
 use super::cells::runs;
 use super::Reports;
@@ -10,7 +10,7 @@
 use crate::scale::report::{Run, Slope, Source};
 use crate::scale::{fit, plot};
 
-/// Lines through sweeps.
+/// Renders the lines through sweeps.
 pub(super) fn lines(slopes: &[Slope]) -> String {
     let header = [
         "axis",
@@ -62,7 +62,7 @@
     }
 }
 
-/// How figures depend on two axes together.
+/// Renders the fits of figures over two axes and their product.
 pub(super) fn products(products: &[InteractionFit]) -> String {
     let header = [
         "axes",
@@ -83,11 +83,11 @@
         product.figure.clone(),
     ];
     let terms = product.coefficients.iter().zip(&product.standard_errors);
-    cells.extend(terms.map(|(factor, error)| format!("{factor:.3e} ({error:.1e})")));
+    cells.extend(terms.map(|(coefficient, error)| format!("{coefficient:.3e} ({error:.1e})")));
     cells
 }
 
-/// What computations of these kinds took, of all reports.
+/// Renders the processor time and memory of computations of these kinds from all reports.
 pub(super) fn computations(reports: &Reports, kinds: &[Computation]) -> String {
     let header = [
         "computation",
--- a/crates/capacity/src/budget/units.rs
+++ b/crates/capacity/src/budget/units.rs
@@ -1,11 +1,11 @@
-//! Amounts with their units as text. All tables of the pages use it.
+//! Formatting of amounts with their units, used by all tables of the pages.
 
 /// The unit of an amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// A number of things.
+    /// A dimensionless count.
     Count,
-    /// Things a second.
+    /// A count per second.
     CountPerSecond,
     /// Bytes, with decimal prefixes.
     Bytes,
@@ -13,7 +13,7 @@
     BytesPerSecond,
     /// Seconds.
     Seconds,
-    /// Processor seconds a second.
+    /// Processor seconds per second, shown as a percentage of a core.
     Cores,
 }
 
@@ -46,14 +46,14 @@
     scaled_unit(1e-6, "us"),
 ];
 
-/// Amounts from this part of a unit on use it, as they are rounded to three digits.
+/// Smallest fraction of a unit that is shown in that unit: with three digits, it rounds to 1.
 const ROUNDS_TO_ONE: f64 = 0.9995;
-/// Factors from here on have no decimals.
+/// Factors of at least this size are shown without decimals.
 const WHOLE_FACTOR: f64 = 10.0;
-/// Most decimals of a number.
+/// Largest number of decimals shown.
 const DECIMALS_LIMIT: i32 = 9;
 
-/// A number to three digits, without trailing zeros.
+/// Formats a number to three significant digits, without trailing zeros and with thousands separators.
 pub fn plain(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
@@ -86,7 +86,7 @@
     }
 }
 
-/// An amount with its unit.
+/// Formats an amount with its unit.
 pub fn amount(value: f64, unit: Unit) -> String {
     match unit {
         Unit::Count => plain(value.round()),
@@ -98,7 +98,7 @@
     }
 }
 
-/// In the largest unit of which there is at least one; below all of them in the smallest.
+/// Formats a value in the largest unit in which it is at least 1, or in the smallest unit if there is none.
 fn with_prefix(value: f64, units: &[ScaledUnit]) -> String {
     let fitting = units
         .iter()
@@ -109,7 +109,7 @@
     }
 }
 
-/// How many times over a budget.
+/// Formats a multiple of a budget; multiples of 10 or more are rounded to whole numbers.
 pub fn times(factor: f64) -> String {
     plain(if factor >= WHOLE_FACTOR {
         factor.round()
--- a/crates/capacity/src/budget/worst_cases.rs
+++ b/crates/capacity/src/budget/worst_cases.rs
@@ -1,5 +1,5 @@
-//! The worst cases at the target: what they cost one node, and what runs have measured of them. The table `moments` shows them; the
-//! ranking uses the rate of restarts.
+//! Computed and measured costs of the worst cases for one node at the target. Generates the table `moments`; the ranking uses the
+//! rate of restarts.
 
 use super::markdown::{self, NOT_MEASURED};
 use super::measurements::{in_force_text, MeasuredRun};
@@ -24,28 +24,28 @@
 /// A worst case for one node.
 #[derive(Clone, Debug)]
 pub struct WorstCase {
-    /// The name of scale runs that measure it.
+    /// Name of the scale runs that measure the case.
     pub run: &'static str,
-    /// What happens.
+    /// Description of the event.
     pub event: &'static str,
-    /// Bytes for one node, in and out.
+    /// Bytes that one node receives and sends.
     pub node_bytes: f64,
     /// Memory beyond that of a node at rest, in bytes; `None` where it is not known.
     pub memory: Option<f64>,
-    /// Until when it has to be over, in seconds.
+    /// Time within which the case has to be handled, in seconds; `None` without a budget.
     pub deadline: Option<f64>,
-    /// What fails or saturates first.
+    /// Description of what fails or saturates first.
     pub bottleneck: String,
 }
 
 impl WorstCase {
-    /// Seconds that the bytes take within the traffic budget of a node.
+    /// Returns the seconds that the bytes take at the traffic budget of a node.
     pub fn transfer_seconds(&self) -> f64 {
         self.node_bytes / budget::NODE_TRAFFIC
     }
 }
 
-/// All worst cases, in the order of the table.
+/// Returns all worst cases, in the order of the table.
 pub fn worst_cases(costs: &Costs) -> Vec<WorstCase> {
     vec![
         rollout(costs),
@@ -60,12 +60,12 @@
     ]
 }
 
-/// Restarts a second during a rollout.
+/// Returns the mean number of restarts per second during the rollout.
 pub(super) fn rollout_restart_rate() -> f64 {
     ROLLOUT_RESTARTS / ROLLOUT_SECONDS
 }
 
-/// Bytes for one node when so many servers and nodes end.
+/// Returns the bytes for one node when this many servers and nodes stop at once.
 fn outage_bytes(costs: &Costs, servers: f64, nodes: f64) -> f64 {
     let member_update = costs.member_update_bytes + costs.header_bytes;
     let transmissions = gossip::transmissions(Size::TARGET.nodes as f64);
@@ -218,7 +218,7 @@
     }
 }
 
-/// The worst cases as a table, with what runs of them have measured.
+/// Renders the worst cases as a table, with the measurements of their runs.
 pub fn table(costs: &Costs, runs: &[MeasuredRun]) -> String {
     let header = [
         "moment",
@@ -265,7 +265,7 @@
     amount(value, Unit::Seconds)
 }
 
-/// What runs have measured of a worst case, each at its size.
+/// Renders the measurements of all runs of a worst case, each with its size and commit.
 fn measured(name: &str, runs: &[MeasuredRun]) -> String {
     let matching: Vec<String> = runs
         .iter()
