--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `reelfall-capacity`.
+//! The program `reelfall-capacity`: runs measurements of the control side at growing sizes.
 
 use clap::{Parser, Subcommand};
 use reelfall_capacity::scale;
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What the control side of many nodes costs as sizes grow.
+/// Measures the cost of the control side as fleets grow
 #[derive(Parser)]
 #[command(name = "reelfall-capacity", version)]
 struct Cli {
-    /// The node's program; by default the node that is part of this one
+    /// Path of the node program; by default the node that is built into this program
     #[arg(long, global = true, value_name = "PROGRAM")]
     node: Option<PathBuf>,
     #[command(subcommand)]
@@ -19,7 +19,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// One run at one size, or sweeps
+    /// Runs measurements at one size, or sweeps over sizes
     Scale(Box<scale::command::Args>),
 }
 
@@ -36,7 +36,7 @@
 fn main() -> ExitCode {
     let mut args: Vec<_> = std::env::args_os().collect();
     if args.get(1).is_some_and(|command| command == "node") {
-        // The node itself: a run starts this program again, so that it needs no other.
+        // Runs start real nodes as processes of this program, so that no separate node program is needed.
         args.remove(0);
         return reelfall::cli::main(args);
     }
--- a/crates/capacity/src/scale/command.rs
+++ b/crates/capacity/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! The command line of scale runs, called by `main`. Its doc comments are the help texts.
+//! The command line of scale runs. The doc comments of arguments are their help texts.
 
 use super::computation::{self, Computation};
 use super::limits::{Deadline, MAX_RUN_DURATION};
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Lengths of a window, in seconds: others are clamped to these.
+/// Allowed lengths of a window, in seconds; other values are clamped to this range.
 const WINDOW_SECONDS: RangeInclusive<f64> = 0.5..=60.0;
 
-/// What the control side of a fleet costs: one run at one size, or sweeps.
+/// Measures the cost of the control side of a fleet: one run at one size, or sweeps
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct Args {
@@ -26,52 +26,52 @@
 
 #[derive(clap::Subcommand)]
 enum ScaleCommand {
-    /// Some sizes of each axis, one at a time, and nodes with restarts together; lines through them
+    /// Sweeps each axis, and nodes together with restarts, and fits lines through the figures
     Sweep {
         #[command(flatten)]
         common: CommonArgs,
-        /// A folder for plots
+        /// Folder for plots of the sweeps
         #[arg(long, value_name = "DIR")]
         plots: Option<PathBuf>,
     },
-    /// Adds lines through its runs to a report that was written without them
+    /// Adds fitted lines to a report that was written without them
     Lines {
-        /// The report
+        /// The report file
         file: PathBuf,
     },
-    /// One computation, once, in this process
+    /// Runs one computation once, in this process
     #[command(hide = true)]
     Computation {
-        /// Which one
+        /// The computation to run
         #[arg(value_enum)]
         computation: Computation,
-        /// What it reads
+        /// The input file
         #[arg(long)]
         file: PathBuf,
     },
-    /// Writes what a computation reads
+    /// Writes the input of a computation
     #[command(hide = true)]
     ComputationInput {
-        /// Which one
+        /// The computation that reads the input
         #[arg(value_enum)]
         computation: Computation,
         /// The size, as JSON
         #[arg(long)]
         size: String,
-        /// Where to write it
+        /// The file to write
         #[arg(long)]
         file: PathBuf,
     },
-    /// The windows of one fleet of a sweep, in this process
+    /// Runs the windows of one fleet of a sweep, in this process
     #[command(hide = true)]
     Fleet {
-        /// What is played, as JSON
+        /// The parameters of the fleet, as JSON
         #[arg(long)]
         plan: String,
-        /// Where to write the figures
+        /// The file for the record
         #[arg(long)]
         json: PathBuf,
-        /// Seconds after which the run ends with what it has
+        /// Time limit in seconds, after which the run ends with a partial record
         #[arg(long)]
         deadline: f64,
     },
@@ -79,16 +79,16 @@
 
 #[derive(clap::Args)]
 struct CommonArgs {
-    /// For all draws
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where to write the figures
+    /// The file for the record
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Seconds of each window
+    /// Length of each window, in seconds
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Seconds after which the run ends with what it has, 600 at most
+    /// Time limit in seconds, at most 600, after which the run ends with a partial record
     #[arg(long, default_value_t = MAX_RUN_DURATION.as_secs_f64())]
     deadline: f64,
 }
@@ -105,41 +105,41 @@
     }
 }
 
-/// A duration of so many seconds; zero if that is not a valid one.
+/// Converts seconds to a duration; zero if they are negative, not finite or too large.
 fn duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
 #[derive(clap::Args)]
 struct SingleArgs {
-    /// Hollow nodes
+    /// Number of hollow (simulated) nodes
     #[arg(long, default_value_t = 300)]
     nodes: usize,
-    /// Servers of all services together
+    /// Number of servers, over all services
     #[arg(long, default_value_t = 1_000)]
     servers: usize,
-    /// Services
+    /// Number of services
     #[arg(long, default_value_t = 50)]
     services: usize,
-    /// Routes of all services together
+    /// Number of routes, over all services
     #[arg(long, default_value_t = 2_000)]
     routes: usize,
-    /// Tenants of all services together
+    /// Number of tenants, over all services
     #[arg(long, default_value_t = 2_000)]
     tenants: usize,
-    /// Configuration changes a day
+    /// Configuration changes per day
     #[arg(long, default_value_t = Size::TARGET.changes)]
     changes: usize,
-    /// Server restarts a day
+    /// Server restarts per day
     #[arg(long, default_value_t = Size::TARGET.restarts)]
     restarts: usize,
-    /// Real nodes beside them
+    /// Number of real nodes in the same fleet
     #[arg(long, default_value_t = 5)]
     real: usize,
-    /// Threads that drive the hollow nodes, no more than there are cores; half of them if not said
+    /// Threads that drive the hollow nodes, at most one per core; by default half of the cores
     #[arg(long)]
     threads: Option<usize>,
-    /// A small fleet in virtual time, and the statistics on fixed inputs
+    /// Runs small fleets in virtual time, and checks the statistics on fixed inputs
     #[arg(long)]
     smoke: bool,
     #[command(flatten)]
@@ -160,10 +160,10 @@
     }
 }
 
-/// Runs the command; whether all checks passed.
+/// Runs the command. Returns whether all checks passed; only the smoke run has checks.
 ///
 /// # Errors
-/// If it can't be run on this machine.
+/// If the size exceeds the limits of the machine, or a part of the run fails.
 pub async fn run(program: &Program, args: &Args) -> Result<bool> {
     match &args.command {
         None if args.single.smoke => return run_smoke(&args.single.common),
@@ -195,12 +195,12 @@
     Ok(true)
 }
 
-/// Whether there is no violation.
+/// Runs the smoke run and prints its violations. Returns whether there are none.
 fn run_smoke(common: &CommonArgs) -> Result<bool> {
     let smoke = smoke::run(common.seed)?;
     smoke.record.write(common.json.as_deref())?;
     for violation in &smoke.violations {
-        eprintln!("broken: {violation}");
+        eprintln!("violation: {violation}");
     }
     let has_passed = smoke.violations.is_empty();
     println!("smoke: {}", if has_passed { "pass" } else { "fail" });
--- a/crates/capacity/src/scale/computation.rs
+++ b/crates/capacity/src/scale/computation.rs
@@ -14,12 +14,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Changes of one server over which the cost of one is averaged.
+/// Number of single-server updates over which the cost of one is averaged.
 const CHANGE_COUNT: usize = 200;
 /// Interval between two updates of a list, in seconds.
 const UPDATE_INTERVAL: f64 = 0.01;
-/// Errors of a settings file that an error quotes.
-const QUOTED_FAULTS: usize = 3;
+/// Number of errors of a settings file that are quoted in a [`ScaleError`].
+const QUOTED_ERRORS: usize = 3;
 /// The lowest port of a listed server.
 const FIRST_PORT: usize = 1024;
 /// Ports of listed servers.
@@ -38,12 +38,12 @@
     Settings,
     /// Applying a snapshot of a list of servers to the decision module.
     ServerList,
-    /// Applying an update of one server of it.
+    /// Applying an update of one server of the list.
     ServerChange,
 }
 
 impl Computation {
-    /// Its name in reports and on the command line.
+    /// Returns the name in reports and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Computation::Settings => "settings",
@@ -58,14 +58,14 @@
 pub struct Cost {
     /// Processor time, in seconds.
     pub cpu: f64,
-    /// Most memory that the process has used, in bytes.
+    /// Peak memory of the process, in bytes.
     #[serde(rename = "peak")]
     pub peak_memory: f64,
-    /// Bytes that were read.
+    /// Length of the input, in bytes.
     pub bytes: usize,
 }
 
-/// The input of a computation: a settings file, or a list of servers with its updates on further lines.
+/// Generates the input of a computation: a settings file, or a list of servers with updates on further lines.
 pub fn input(computation: Computation, size: &Size) -> String {
     let servers = size.servers;
     let snapshot = || list_text(servers, 0..servers, 0);
@@ -96,7 +96,7 @@
 /// Runs a computation once, in this process, on an input in a file.
 ///
 /// # Errors
-/// If there is no such file, or the input is rejected.
+/// If the file can't be read, or the input is rejected.
 pub fn run_on_file(computation: Computation, file: &Path) -> Result<Cost> {
     run_on_text(computation, std::fs::read_to_string(file)?)
 }
@@ -112,7 +112,7 @@
 /// Reads and checks a settings file.
 ///
 /// # Errors
-/// If it is empty or rejected.
+/// If the text is empty, or the reader rejects it.
 pub fn read_settings(text: impl Into<String>) -> Result<Cost> {
     let text = text.into();
     if text.is_empty() {
@@ -122,11 +122,11 @@
     let started = machine::thread_cpu_time()?;
     let model =
         reelfall_config::reader::parse_toml("scale.toml", &text).map_err(settings_rejected)?;
-    // As the program does: a check takes memory of its own.
+    // The node program drops the text before the check too, which allocates memory of its own.
     drop(text);
     let plan = reelfall_config::check(model).map_err(settings_rejected)?;
     let cost = cost_since(started, bytes);
-    // Only now, so that its memory counts.
+    // Dropped after the measurement, so that the peak memory includes the plan.
     drop(plan);
     cost
 }
@@ -135,7 +135,7 @@
     let first: Vec<String> = errors
         .0
         .iter()
-        .take(QUOTED_FAULTS)
+        .take(QUOTED_ERRORS)
         .map(ToString::to_string)
         .collect();
     ScaleError::SettingsRejected {
@@ -164,7 +164,7 @@
     cost_since(started, text.len())
 }
 
-/// Applies a snapshot to the decision module, then updates: the cost of one update.
+/// Applies a snapshot to the decision module, then updates. Returns the mean cost of one update.
 fn apply_updates(text: &str) -> Result<Cost> {
     let mut lines = text.lines();
     let mut module = DecisionModule::new()?;
@@ -180,7 +180,7 @@
     cost(cpu, updates.first().map_or(0, |update| update.len()))
 }
 
-/// A snapshot or an update, in the format of discovery services.
+/// Renders a snapshot or an update in the JSON format of discovery services.
 fn list_text(listed: usize, servers: Range<usize>, started: u64) -> String {
     let endpoint = |server: usize| {
         serde_json::json!({
@@ -195,7 +195,7 @@
     serde_json::json!({ "index": 1, "snapshot": is_snapshot, "endpoints": endpoints }).to_string()
 }
 
-/// A decision module with the names of its servers.
+/// A decision module with the registry of its servers' names.
 struct DecisionModule {
     balancer: Balancer,
     names: NameRegistry,
--- a/crates/capacity/src/scale/computation_process.rs
+++ b/crates/capacity/src/scale/computation_process.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// How often a computation is repeated, each time in a new process; the median counts.
+/// Number of processes that run each computation; the figures are the medians.
 pub const REPEATS: usize = 3;
-/// Longest time of all repeats of one computation.
+/// Timeout of all repeats of one computation together.
 pub const MAX_MEASUREMENT_DURATION: Duration = Duration::from_secs(60);
 
 /// Runs a computation in processes of this program, and takes the medians.
@@ -37,7 +37,7 @@
         Computation::Settings | Computation::ServerList => {
             Some(median(&costs, |cost| cost.peak_memory))
         }
-        // The peak was that of the snapshot before the updates.
+        // The peak comes from the snapshot, which is applied before the updates.
         Computation::ServerChange => None,
     };
     let per_node = PerNode {
@@ -49,7 +49,7 @@
         name: computation.name().to_owned(),
         source: Source::Computation,
         size: *size,
-        // The processor time is that of one computation: as if one were run in each second.
+        // The processor time of one computation is stored as a rate, so one computation per second is assumed.
         seconds: 1.0,
         per_node,
         in_force: None,
@@ -94,7 +94,7 @@
     Ok(serde_json::from_slice(&printed)?)
 }
 
-/// The standard output of a subcommand of the program.
+/// Runs a subcommand of the program and returns its standard output.
 async fn run_subcommand(
     program: &Path,
     subcommand: &str,
--- a/crates/capacity/src/scale/counters.rs
+++ b/crates/capacity/src/scale/counters.rs
@@ -18,7 +18,7 @@
     pub bytes_out: AtomicU64,
     /// Snapshots and updates of lists received.
     pub list_messages: AtomicU64,
-    /// Their bytes.
+    /// Bytes of the snapshots and updates received.
     pub list_bytes: AtomicU64,
     /// Most bytes received and sent within a second of the window.
     pub peak_bytes: AtomicU64,
@@ -66,7 +66,7 @@
     pub bytes_out: u64,
     /// Snapshots and updates of lists received.
     pub list_messages: u64,
-    /// Their bytes.
+    /// Bytes of the snapshots and updates received.
     pub list_bytes: u64,
     /// Processor time, in seconds.
     pub cpu: f64,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The cost of a window of so many seconds for each of so many nodes.
+/// Computes the cost of a window of `seconds` seconds, averaged over `nodes` nodes.
 pub fn per_node(
     before: &Totals,
     after: &Totals,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The estimated part of one kind in all traffic.
+/// Estimates the traffic of one kind from its shares of the sample.
 fn traffic_of_kind(all: &Traffic, sample: &Sample, kind: DatagramKind) -> Traffic {
     let shares = sample.shares(kind);
     Traffic {
--- a/crates/capacity/src/scale/datagram.rs
+++ b/crates/capacity/src/scale/datagram.rs
@@ -28,7 +28,7 @@
 }
 
 impl DatagramKind {
-    /// How many kinds there are.
+    /// Number of kinds.
     pub const COUNT: usize = 5;
     /// All kinds, in the order of reports.
     pub const ALL: [DatagramKind; DatagramKind::COUNT] = [
@@ -39,7 +39,7 @@
         DatagramKind::Application,
     ];
 
-    /// Its name in reports.
+    /// Returns the name in reports.
     pub fn label(self) -> &'static str {
         match self {
             DatagramKind::Membership => "membership",
@@ -75,10 +75,10 @@
     pub entry_bytes: usize,
 }
 
-/// The key of every fleet of a scale run.
+/// Derives the key of every fleet of a scale run.
 ///
 /// # Errors
-/// If [`KEY_FILE`] is too short, which it is not.
+/// If [`KEY_FILE`] is too short; the constant is long enough.
 pub fn fleet_secret() -> Result<Secret, KeyTooShort> {
     Secret::new(KEY_FILE, FLEET_NAME)
 }
--- a/crates/capacity/src/scale/discovery_stub.rs
+++ b/crates/capacity/src/scale/discovery_stub.rs
@@ -1,8 +1,8 @@
 //! A stub of the discovery services: snapshots of endpoint lists, and updates at the rate of restarts.
 //!
-//! Its updates have the format of [`reelfall_testbed::discovery`]. They reach simulated nodes over a channel of the
-//! process in place of a connection each, so that a thousand nodes need no thousand connections more. Every node
-//! parses every update by itself, in [`drive`](super::drive).
+//! Its updates have the format of [`reelfall_testbed::discovery`]. They reach simulated nodes over a channel
+//! within the process, so that a thousand nodes don't need a thousand connections. Every node still parses every update
+//! itself, in [`drive`](super::drive).
 
 use super::simulated_node::FailingServer;
 use serde::Deserialize;
@@ -11,7 +11,7 @@
 
 /// Updates that a node may lag behind before it has to read snapshots again.
 const MAX_PENDING_UPDATES: usize = 1024;
-/// Servers that fail all the time: the first ones.
+/// Number of servers, the first ones, that fail all the time.
 pub const ALWAYS_FAILING_SERVERS: usize = 2;
 /// The lowest port of a listed server.
 const FIRST_PORT: usize = 1024;
@@ -64,7 +64,7 @@
     pending: Vec<usize>,
 }
 
-/// The stub.
+/// A stub of the discovery services, shared by all simulated nodes.
 pub struct DiscoveryStub {
     list_count: usize,
     state: Mutex<State>,
@@ -73,18 +73,18 @@
     updates: broadcast::Sender<ListMessage>,
 }
 
-/// A server's name.
+/// Returns the name of a server.
 pub fn server_name(server: usize) -> String {
     format!("server-{server}")
 }
 
-/// A list's name.
+/// Returns the name of a list.
 pub fn list_name(list: usize) -> String {
     format!("service-{list}")
 }
 
 impl DiscoveryStub {
-    /// So many servers, distributed over the lists of so many services.
+    /// Creates a stub with `servers` servers, distributed over the lists of `services` services.
     pub fn new(servers: usize, services: usize) -> DiscoveryStub {
         let list_count = services.clamp(1, servers.max(1));
         let failing: Vec<FailingServer> = (0..ALWAYS_FAILING_SERVERS.min(servers))
@@ -109,12 +109,12 @@
         }
     }
 
-    /// How many servers there are.
+    /// Number of servers in all lists.
     pub fn server_count(&self) -> usize {
         self.lock().started_ms.len()
     }
 
-    /// How many lists there are.
+    /// Number of lists: at most one per server.
     pub fn list_count(&self) -> usize {
         self.list_count
     }
@@ -124,7 +124,7 @@
         self.updates.subscribe()
     }
 
-    /// The servers that fail now.
+    /// Returns the servers that fail at the moment.
     pub fn failing_servers(&self) -> Arc<Vec<FailingServer>> {
         self.failing
             .read()
@@ -132,14 +132,14 @@
             .clone()
     }
 
-    /// The snapshot of one list.
+    /// Returns the current snapshot of one list.
     pub fn snapshot(&self, list: usize, now_us: u64) -> ListMessage {
         let state = self.lock();
         let servers = (list..state.started_ms.len()).step_by(self.list_count);
         state.message(list, true, servers, now_us)
     }
 
-    /// Lets a server fail, as one that is about to restart.
+    /// Marks a server as failing, as before a restart.
     pub fn fail_server(&self, server: usize) {
         let mut state = self.lock();
         let Some(started_ms) = state.started_ms.get(server).copied() else {
@@ -171,7 +171,7 @@
         self.send_update(&mut state, server, now_us);
     }
 
-    /// Makes the stub unavailable: it sends nothing. Once it is available again, it sends what changed meanwhile.
+    /// Makes the stub unavailable, so that it sends nothing. Once available again, it sends the updates that were held back.
     pub fn set_unavailable(&self, is_unavailable: bool, now_us: u64) {
         let mut state = self.lock();
         state.is_unavailable = is_unavailable;
--- a/crates/capacity/src/scale/drive.rs
+++ b/crates/capacity/src/scale/drive.rs
@@ -24,16 +24,17 @@
 const CPU_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Shortest wait of a node for its own deadline, in seconds.
 const MIN_WAIT: f64 = 0.001;
-/// Prefix of the names of banned servers; the microsecond of the ban follows.
+/// Prefix of the names of banned servers, followed by the time of the ban in microseconds of the run's clock.
 const BAN_PREFIX: &str = "change-";
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS: f64 = 1e6;
-/// Position of the node's index in its seed.
+/// Bit position of the node's index in its seed.
 const INDEX_SHIFT: u32 = 20;
-/// Position of the number of its processes in its seed.
+/// Bit position of the node's process count in its seed.
 const PROCESS_SHIFT: u32 = 52;
 
-/// The ages in seconds of the bans with these servers' names, of those that are not older than the window.
+/// Returns the ages, in seconds, of the bans of these servers that began within the window. The time of a ban is part of the
+/// server's name.
 pub fn ban_ages(
     servers: &[String],
     window_started_us: u64,
@@ -53,9 +54,9 @@
 
 /// A node whose socket is open.
 pub struct OpenNode {
-    /// Its index.
+    /// Index of the node in the fleet.
     pub index: usize,
-    /// Its socket, which does not block.
+    /// The non-blocking socket of the node.
     pub socket: UdpSocket,
 }
 
@@ -98,7 +99,7 @@
     socket: tokio::net::UdpSocket,
     list_updates: Receiver<ListMessage>,
     peak_meter: PeakMeter,
-    /// Processes of this node so far.
+    /// Number of processes that this node has started so far.
     processes: u64,
     /// When each listed server last started, in milliseconds, by its number.
     server_starts: Vec<u64>,
@@ -170,7 +171,7 @@
         Some(node)
     }
 
-    /// Does what is due; whether there may be more datagrams to receive at once.
+    /// Handles input, due timers and output. Returns whether more datagrams may be waiting.
     fn step(&mut self, node: &mut SimulatedNode) -> bool {
         self.carry_out_bans(node);
         let has_more_input = self.receive_datagrams(node);
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Receives a batch of datagrams; whether there may be more.
+    /// Receives a batch of datagrams. Returns whether more may be waiting.
     fn receive_datagrams(&mut self, node: &mut SimulatedNode) -> bool {
         let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..RECEIVE_BATCH {
@@ -213,7 +214,7 @@
                     node.receive(now, buffer.get(..length).unwrap_or_default());
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-                // An earlier datagram was not delivered (ICMP); the next one may be from another node.
+                // An ICMP error for a datagram that was sent earlier; further datagrams can still be received.
                 Err(_) => {}
             }
         }
@@ -327,7 +328,7 @@
         match update {
             Ok(update) => self.read_update(node, &update),
             Err(RecvError::Lagged(_)) => self.read_snapshots(node),
-            // The stub ends with the run.
+            // The channel closes only at the end of the run.
             Err(RecvError::Closed) => {}
         }
     }
--- a/crates/capacity/src/scale/error.rs
+++ b/crates/capacity/src/scale/error.rs
@@ -6,67 +6,67 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a part of a scale run failed.
+/// Reason why a part of a scale run failed.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// The input of a settings computation is empty.
-    #[error("there is no generator of settings files of this size")]
+    #[error("the settings input is empty")]
     NoSettings,
     /// The reader of settings files rejected the input.
-    #[error("the settings file is refused, {count} mistakes: {first}")]
+    #[error("the settings file was rejected with {count} errors: {first}")]
     SettingsRejected {
-        /// How many faults there are.
+        /// Number of errors in the file.
         count: usize,
-        /// The first of them, joined.
+        /// The first errors, joined by semicolons.
         first: String,
     },
     /// The input of a server list computation is empty.
-    #[error("no list")]
+    #[error("the server list input is empty")]
     NoList,
     /// A server list has no `endpoints`.
-    #[error("no endpoints")]
+    #[error("the server list has no `endpoints` array")]
     NoEndpoints,
     /// The repeats of a computation took too long.
-    #[error("not done in {0:?}")]
+    #[error("the computation did not finish within {0:?}")]
     ComputationTimeout(Duration),
     /// The process of a computation failed.
     #[error("{stderr}")]
     ComputationFailed {
-        /// What it wrote to its standard error.
+        /// Standard error of the process.
         stderr: String,
     },
     /// The process of a fleet did not exit in time.
-    #[error("{nodes} nodes: their process has not ended in time")]
+    #[error("{nodes} nodes: the process of the fleet did not exit in time")]
     FleetTimeout {
         /// Size of the fleet.
         nodes: usize,
     },
     /// The process of a fleet failed.
-    #[error("{nodes} nodes: their process has failed: {status}")]
+    #[error("{nodes} nodes: the process of the fleet failed: {status}")]
     FleetFailed {
         /// Size of the fleet.
         nodes: usize,
-        /// How the process exited.
+        /// Exit status of the process.
         status: ExitStatus,
     },
-    /// A report has another schema.
-    #[error("the report has schema {found}, and this program reads {supported}")]
+    /// A report has an unsupported schema version.
+    #[error("unsupported report schema {found}; expected {supported}")]
     UnsupportedSchema {
-        /// The report's schema.
+        /// Schema version of the report.
         found: u32,
-        /// The schema of this program.
+        /// Schema version that this program reads.
         supported: u32,
     },
     /// A file of `/proc` lacks a field.
     #[error("no {field} in {file}")]
     MissingProcField {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The file.
+        /// Path of the file.
         file: &'static str,
     },
-    /// A simulated node has no socket.
-    #[error("the socket of node {node} of {nodes} is not to be had: {source}")]
+    /// The socket of a simulated node can't be opened.
+    #[error("can't open the socket of node {node} of {nodes}: {source}")]
     Socket {
         /// The index of the node.
         node: usize,
@@ -92,6 +92,6 @@
         sent: u64,
     },
     /// There is no node to send requests to.
-    #[error("nothing was asked")]
+    #[error("there is no real node to send requests to")]
     NoRequests,
 }
--- a/crates/capacity/src/scale/faults.rs
+++ b/crates/capacity/src/scale/faults.rs
@@ -12,11 +12,11 @@
 
 /// Length of the window of each scenario, in seconds.
 const WINDOW_SECONDS: f64 = 10.0;
-/// Time in which a fleet has to converge again.
+/// Timeout for a fleet to converge again.
 pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Length of random faults.
 const FAULT_DURATION: Duration = Duration::from_secs(4);
-/// Of so many nodes, random faults freeze one and kill one.
+/// Number of nodes for each frozen and each killed node of the random faults.
 const NODES_PER_FAULT: usize = 20;
 
 /// A fault scenario.
@@ -26,10 +26,10 @@
     ZoneOutage,
     /// All nodes of a region start at once, into a fleet that has declared them dead.
     RegionRestart,
-    /// Random faults at once while changes arrive: frozen nodes, killed nodes, a partition of two zones, and no
-    /// discovery.
+    /// Simultaneous random faults while changes arrive: frozen nodes, killed nodes, a partition of two zones, and
+    /// unavailable discovery.
     RandomFaults,
-    /// The two regions are partitioned, and find each other again.
+    /// The two regions are partitioned from each other, and the partition ends.
     RegionPartition,
 }
 
@@ -42,7 +42,7 @@
         Scenario::RegionPartition,
     ];
 
-    /// Its name in reports.
+    /// Returns the name in reports.
     pub fn label(self) -> &'static str {
         match self {
             Scenario::ZoneOutage => "zone-gone",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The random stream of its choices.
+    /// Returns the number of the random stream for the scenario's choices.
     fn stream(self) -> u64 {
         match self {
             Scenario::ZoneOutage => 1,
@@ -67,11 +67,11 @@
 pub struct FaultRun<'a> {
     /// The simulated nodes.
     pub network: &'a Network,
-    /// Nodes of the fleet outside of this process.
+    /// Number of nodes of the fleet outside of this process.
     pub external_nodes: usize,
     /// The run's size.
     pub size: &'a Size,
-    /// When the run has to end.
+    /// Time at which the run has to end.
     pub deadline: Deadline,
 }
 
@@ -129,7 +129,7 @@
             .set_partitioned(faults.zone, faults.other_zone, true);
         self.set_discovery_unavailable(true);
         record.note(format!(
-            "{label}: {} nodes frozen and {} killed, zones {} and {} cut apart, no lists, for {FAULT_DURATION:?}",
+            "{label}: {} nodes frozen and {} killed, zones {} and {} partitioned, discovery unavailable, for {FAULT_DURATION:?}",
             faults.frozen.len(),
             faults.killed.len(),
             faults.zone,
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// A random number below a bound.
+    /// Chooses a random number below a bound.
     fn choose(&self, scenario: Scenario, bound: usize) -> usize {
         self.network.rng(scenario.stream()).next_u64() as usize % bound
     }
@@ -253,8 +253,10 @@
     });
     match seconds {
         Some(seconds) => record.note(format!(
-            "{name}: all that run know all of them after {seconds:.1} s"
+            "{name}: all running nodes know each other after {seconds:.1} s"
+        )),
+        None => record.note(format!(
+            "{name}: not all running nodes know each other within the timeout"
         )),
-        None => record.note(format!("{name}: not all that run know all of them in time")),
     }
 }
--- a/crates/capacity/src/scale/figure.rs
+++ b/crates/capacity/src/scale/figure.rs
@@ -6,9 +6,9 @@
 /// A figure of a run.
 #[derive(Clone, Copy)]
 pub struct Figure {
-    /// Its name in reports, with its unit.
+    /// Name in reports, with the unit.
     pub name: &'static str,
-    /// Its value; `None` if the run does not have it.
+    /// Extracts the value from a run; `None` if the run does not have it.
     pub value: fn(&Run) -> Option<f64>,
 }
 
@@ -32,9 +32,10 @@
 /// The figures of runs with simulated nodes.
 pub const NETWORK_FIGURES: [Figure; 4] =
     [CONTROL_TRAFFIC, PEAK_TRAFFIC, CONTROL_CPU, BAN_PROPAGATION];
-/// Those of them that are fitted by nodes and restarts together.
+/// The figures that are fitted by nodes and restarts together.
 pub const INTERACTION_FIGURES: [Figure; 3] = [CONTROL_TRAFFIC, PEAK_TRAFFIC, CONTROL_CPU];
-/// Of the first window of each fleet: later ones follow it in the same process.
+/// Memory of a node, in the first window of each fleet only: later windows run in the same process, whose memory
+/// already includes the earlier ones.
 pub const NETWORK_MEMORY: Figure = Figure {
     name: "memory of a node, B",
     value: |run| run.per_node.memory,
@@ -54,9 +55,9 @@
 };
 /// The figures of reading settings.
 pub const SETTINGS_FIGURES: [Figure; 3] = [COMPUTATION_CPU, COMPUTATION_MEMORY, INPUT_LENGTH];
-/// The figures of a snapshot: its length is known without measuring.
+/// The figures of applying a snapshot, without the length, which follows from the number of servers.
 const SNAPSHOT_FIGURES: [Figure; 2] = [COMPUTATION_CPU, COMPUTATION_MEMORY];
-/// The figures of an update: its memory is that of the snapshot.
+/// The figures of applying an update, without the memory, which is that of the snapshot.
 const UPDATE_FIGURES: [Figure; 1] = [COMPUTATION_CPU];
 
 /// The figures of one computation.
--- a/crates/capacity/src/scale/fit.rs
+++ b/crates/capacity/src/scale/fit.rs
@@ -15,7 +15,7 @@
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
-/// The same for more degrees of freedom.
+/// The two-sided 5 % point for more degrees of freedom than [`T_BOUNDS`] has.
 const T_BOUND_LIMIT: f64 = 1.96;
 /// Relative size below which a difference counts as rounding.
 pub const ROUNDING_TOLERANCE: f64 = 1e-9;
@@ -57,7 +57,7 @@
         })
     }
 
-    /// The difference of both.
+    /// Returns the difference between the largest and the smallest value.
     pub fn span(&self) -> f64 {
         self.max - self.min
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Tests the points for a bend; `None` if there are too few. See the module.
+/// Tests the points for a bend, as described in the module comment; `None` if there are too few points.
 pub fn bend(points: &[Point]) -> Option<Bend> {
     if points.len() < MIN_BEND_POINTS {
         return None;
@@ -80,7 +80,7 @@
     if extent.span() <= 0.0 {
         return None;
     }
-    // Centred, so that the line and the bend are nearly independent.
+    // Centred, so that the linear and the quadratic term are nearly independent.
     let centred = |x: f64| 2.0 * (x - extent.min) / extent.span() - 1.0;
     let rows: Vec<Vec<f64>> = points
         .iter()
@@ -146,7 +146,7 @@
     })
 }
 
-/// The value of the line elsewhere, with the error that its slope contributes; `None` if the points bend.
+/// Extrapolates the line to `at`, with the error that the slope contributes; `None` if the points bend.
 pub fn projection(line: &Slope, at: f64) -> Option<Projection> {
     if line.bent {
         return None;
--- a/crates/capacity/src/scale/fleet.rs
+++ b/crates/capacity/src/scale/fleet.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// How long a fleet rests after it has converged.
+/// Wait between convergence and the first window.
 pub const SETTLE_DURATION: Duration = Duration::from_secs(6);
 /// Time that a process may take beyond its deadline to start and to exit.
 const PROCESS_GRACE_PERIOD: Duration = Duration::from_secs(10);
@@ -31,15 +31,15 @@
     pub size: Size,
     /// The rates of each window, in order.
     pub windows: Vec<Rates>,
-    /// Length of each window.
+    /// Length of each window, in seconds.
     #[serde(rename = "seconds")]
     pub window_seconds: f64,
-    /// For all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl Plan {
-    /// How long one window takes.
+    /// Returns the duration of one window, including the wait for its last change to propagate.
     pub fn window_duration(&self) -> Duration {
         Duration::try_from_secs_f64(self.window_seconds).unwrap_or_default() + DRAIN_DURATION
     }
@@ -48,7 +48,7 @@
 /// Runs the windows of one fleet in this process.
 ///
 /// # Errors
-/// If something does not start, or the system does not report what is used.
+/// If the network can't be started, or the system does not report the resource usage.
 pub async fn run(plan: &Plan, deadline: Deadline) -> Result<Record> {
     let size = &plan.size;
     let mut record = Record::new(plan.seed);
@@ -81,7 +81,7 @@
         let mut measured = measure(&network, &window).await?;
         let is_first = index == 0;
         if !is_first {
-            // The process has run the former windows as well.
+            // The memory of the process includes that of the earlier windows.
             measured.run.per_node.memory = None;
         }
         measured.add_to(&mut record);
--- a/crates/capacity/src/scale/fleet_state.rs
+++ b/crates/capacity/src/scale/fleet_state.rs
@@ -1,5 +1,5 @@
-//! The state that the threads of [`network`](super::network) share: the nodes, the partitions between zones, and what
-//! was measured.
+//! The state that the threads of [`network`](super::network) share: the nodes, the partitions between zones, and the
+//! measurements.
 
 use super::counters::Counters;
 use super::discovery_stub::{DiscoveryStub, ListMessage};
@@ -13,11 +13,11 @@
 
 /// Zones that nodes are assigned to in turn.
 pub const ZONES: usize = 6;
-/// Zones of one region: zones 0 to 2 are the first region, 3 to 5 the second.
+/// Number of zones in each region: zones 0 to 2 form the first region, 3 to 5 the second.
 pub const ZONES_PER_REGION: usize = 3;
-/// Nodes through which others join, one of each zone.
+/// Number of nodes through which others join, one in each zone.
 pub const SEEDS: usize = ZONES;
-/// The zone of a port that is no node's.
+/// Marks a port that belongs to no node.
 const NO_ZONE: u8 = u8::MAX;
 /// Bits of [`FleetState::partitions`] for each zone.
 const BITS_PER_ZONE: usize = 8;
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum NodeState {
-    /// It runs.
+    /// The process runs.
     Running = 0,
-    /// It is suspended; datagrams queue in its socket.
+    /// The process is suspended; datagrams queue in its socket.
     Frozen = 1,
     /// There is no process.
     Stopped = 2,
@@ -43,12 +43,12 @@
     /// Its counters.
     pub counters: Counters,
     state: AtomicU8,
-    /// Bans that an operator requested at this node, each for so many seconds.
+    /// Durations of the bans that an operator requested at this node, in seconds.
     bans: Mutex<Vec<f64>>,
 }
 
 impl NodeSlot {
-    /// A running node.
+    /// Creates the slot of a running node.
     pub fn new(address: SocketAddr, zone: usize) -> NodeSlot {
         NodeSlot {
             address,
@@ -73,7 +73,7 @@
         self.state.store(state as u8, Ordering::Relaxed);
     }
 
-    /// Requests a ban for so many seconds.
+    /// Requests a ban at this node for `seconds` seconds.
     pub fn request_ban(&self, seconds: f64) {
         self.bans
             .lock()
@@ -81,7 +81,7 @@
             .push(seconds);
     }
 
-    /// Takes the requested bans.
+    /// Takes the durations of the requested bans, in seconds.
     pub fn take_bans(&self) -> Vec<f64> {
         std::mem::take(&mut *self.bans.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -90,9 +90,9 @@
 /// Times from a change until a node applied it, in seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PropagationTimes {
-    /// Of bans.
+    /// Times of bans.
     pub bans: Vec<f64>,
-    /// Of list updates.
+    /// Times of list updates.
     pub list_updates: Vec<f64>,
 }
 
@@ -105,11 +105,11 @@
     pub discovery: Arc<DiscoveryStub>,
     /// Snapshots of all lists, for nodes that start.
     snapshots: RwLock<Arc<Vec<ListMessage>>>,
-    /// The number of the window, so that peaks are reset in each.
+    /// Number of the current window; peaks are reset when it changes.
     pub window: AtomicU32,
-    /// When the window began, in microseconds: a node that starts receives older bans too.
+    /// Start of the window, in microseconds of the run's clock. Older bans are ignored, as nodes that start receive them too.
     pub window_started_us: AtomicU64,
-    /// Ends all threads.
+    /// Tells all threads to stop.
     pub is_stopping: AtomicBool,
     /// Samples datagrams by kind.
     pub sampler: Sampler,
@@ -126,7 +126,7 @@
 }
 
 impl FleetState {
-    /// A run that starts now, with these nodes and so many threads that drive them.
+    /// Creates the state of a run that starts now, with these nodes, driven by `threads` threads.
     ///
     /// # Errors
     /// If the sampler's thread can't be started.
@@ -157,7 +157,7 @@
         Ok(state)
     }
 
-    /// The run's clock: seconds since it started.
+    /// Returns the run's clock: the seconds since the run started.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
@@ -193,7 +193,7 @@
             .collect()
     }
 
-    /// Whether a zone and an address reach each other. All zones reach addresses that are in none.
+    /// Returns whether a zone and an address reach each other. Addresses in no zone are reachable from all zones.
     pub fn is_reachable(&self, zone: usize, other: SocketAddr) -> bool {
         let partitions = self.partitions.load(Ordering::Relaxed);
         if partitions == 0 {
@@ -236,12 +236,12 @@
     }
 }
 
-/// A node's name.
+/// Returns the name of a node.
 pub fn node_name(index: usize) -> String {
     format!("hollow-{index}")
 }
 
-/// A zone's name.
+/// Returns the name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
--- a/crates/capacity/src/scale/least_squares.rs
+++ b/crates/capacity/src/scale/least_squares.rs
@@ -16,9 +16,9 @@
     pub residuals: Vec<f64>,
 }
 
-/// Fits a figure by terms: each row has the value of every term at one point.
+/// Fits a figure by a linear combination of terms; each row has the value of every term at one point.
 ///
-/// `None` if there are fewer points than terms, linearly dependent terms, or values that are not finite.
+/// Returns `None` if there are fewer points than terms, linearly dependent terms, or values that are not finite.
 pub fn least_squares(rows: &[Vec<f64>], figures: &[f64]) -> Option<Fit> {
     let terms = rows.first()?.len();
     if !is_well_formed(rows, figures, terms) {
@@ -53,7 +53,7 @@
     })
 }
 
-/// Whether there are enough points, each with a figure and all terms, and all values are finite.
+/// Returns whether there are enough points, each with a figure and all terms, and all values are finite.
 fn is_well_formed(rows: &[Vec<f64>], figures: &[f64], terms: usize) -> bool {
     rows.len() >= terms
         && rows.len() == figures.len()
@@ -65,7 +65,7 @@
             .all(|value| value.is_finite())
 }
 
-/// The largest value of each term. Divided by it, the sums of squares are of one magnitude.
+/// Returns the largest absolute value of each term. Dividing by it brings the sums of squares to the same magnitude.
 fn term_scales(rows: &[Vec<f64>], terms: usize) -> Vec<f64> {
     let scale = |term: usize| rows.iter().map(|row| row[term].abs()).fold(0.0, f64::max);
     (0..terms).map(scale).collect()
@@ -123,7 +123,7 @@
     (0..size).map(unit_row).collect()
 }
 
-/// Gauss-Jordan elimination with partial pivoting; `None` if the matrix is singular.
+/// Inverts a matrix by Gauss-Jordan elimination with partial pivoting; `None` if it is singular.
 fn inverse(mut matrix: Matrix) -> Option<Matrix> {
     let size = matrix.len();
     let mut inverse = identity(size);
--- a/crates/capacity/src/scale/limits.rs
+++ b/crates/capacity/src/scale/limits.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Open files of a run beside the sockets of its simulated nodes.
+/// Open files reserved for other uses than the sockets of simulated nodes.
 pub const RESERVED_FILES: usize = 512;
-/// Most processes of one run.
+/// Largest number of processes of one run.
 pub const MAX_PROCESSES: usize = 300;
 /// Processes of a run that are not real nodes.
 const RESERVED_PROCESSES: usize = 10;
-/// Longest run.
+/// Longest duration of a run.
 pub const MAX_RUN_DURATION: Duration = Duration::from_secs(600);
 /// Estimated memory of one node for each other member, in bytes; an upper bound.
 pub const BYTES_PER_MEMBER: u64 = 1024;
@@ -19,17 +19,17 @@
 pub const BYTES_PER_NODE: u64 = 256 << 10;
 /// Memory of one node for each server of its list, in bytes.
 pub const BYTES_PER_SERVER: u64 = 16;
-/// Fewest simulated nodes of a run: each zone has some.
+/// Smallest number of simulated nodes of a run: one in each zone.
 pub const MIN_NODES: usize = 6;
-/// Most nodes that the search for a fitting number tries.
+/// Upper bound of the search for the number of nodes that fit.
 const NODE_SEARCH_LIMIT: usize = 1 << 20;
 
-/// Why a run does not fit the machine.
+/// The limit that a run exceeds, or the minimum size that it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TooLarge {
-    /// There are not enough sockets.
+    /// The run needs more open files than the process may have.
     #[error(
-        "{nodes} hollow nodes need {needed} open files, and this process may have {limit}: {fits} nodes fit"
+        "{nodes} hollow nodes need {needed} open files, but the limit of this process is {limit}: {fits} nodes fit"
     )]
     Sockets {
         /// Simulated nodes that were requested.
@@ -41,9 +41,9 @@
         /// Simulated nodes that fit.
         fits: usize,
     },
-    /// There is not enough memory.
+    /// The run needs more than half of the machine's memory.
     #[error(
-        "{nodes} hollow nodes need about {needed_mib} MiB, and half of the machine's memory is {half_mib} MiB: \
+        "{nodes} hollow nodes need about {needed_mib} MiB, but half of the machine's memory is {half_mib} MiB: \
          {fits} nodes fit"
     )]
     Memory {
@@ -51,21 +51,21 @@
         nodes: usize,
         /// Memory that they need, in MiB.
         needed_mib: u64,
-        /// Half of the machine's, in MiB.
+        /// Half of the machine's memory, in MiB.
         half_mib: u64,
         /// Simulated nodes that fit.
         fits: usize,
     },
-    /// There are too many processes.
-    #[error("{requested} real nodes are too many: {fits} at most")]
+    /// The run needs more processes than [`MAX_PROCESSES`] allows.
+    #[error("{requested} real nodes were requested, but at most {fits} are allowed")]
     Processes {
         /// Real nodes that were requested.
         requested: usize,
-        /// How many are allowed.
+        /// Real nodes that are allowed.
         fits: usize,
     },
     /// There are fewer nodes than zones.
-    #[error("a fleet has at least {min} nodes, and {nodes} were asked for")]
+    #[error("a fleet needs at least {min} nodes, but {nodes} were requested")]
     TooFew {
         /// Simulated nodes that were requested.
         nodes: usize,
@@ -77,21 +77,21 @@
 /// The resources of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// Open files of one process.
+    /// Open files that one process may have.
     pub open_files: usize,
     /// Memory, in bytes.
     pub memory: u64,
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
 }
 
 impl Machine {
-    /// How many simulated nodes the sockets suffice for.
+    /// Returns the number of simulated nodes that the limit of open files allows.
     pub fn nodes_by_open_files(&self) -> usize {
         self.open_files.saturating_sub(RESERVED_FILES)
     }
 
-    /// How many simulated nodes half of the memory suffices for, found by bisection.
+    /// Returns the number of simulated nodes that fit in half of the memory, found by bisection.
     pub fn nodes_by_memory(&self, servers: usize) -> usize {
         let half = self.memory / 2;
         let (mut low, mut high) = (0, NODE_SEARCH_LIMIT);
@@ -109,7 +109,7 @@
     /// Checks a run against the limits.
     ///
     /// # Errors
-    /// The limit that it exceeds, and what would fit.
+    /// The first limit that the run exceeds, with the size that would fit.
     pub fn check(&self, size: &Size, real_nodes: usize) -> Result<(), TooLarge> {
         if size.nodes < MIN_NODES {
             return Err(TooLarge::TooFew {
@@ -161,29 +161,29 @@
     })
 }
 
-/// Estimated memory of so many nodes, each with a list of so many servers, in bytes.
+/// Estimates the memory of `nodes` nodes, each with a list of `servers` servers, in bytes.
 pub fn estimated_memory(nodes: usize, servers: usize) -> u64 {
     let nodes = nodes as u64;
     let per_node = BYTES_PER_NODE + nodes * BYTES_PER_MEMBER + servers as u64 * BYTES_PER_SERVER;
     nodes * per_node
 }
 
-/// The moment at which a run has to end.
+/// Time at which a run has to end.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadline(Instant);
 
 impl Deadline {
-    /// A deadline after this duration, or after [`MAX_RUN_DURATION`] if that is shorter.
+    /// Creates a deadline after this duration, or after [`MAX_RUN_DURATION`] if that is shorter.
     pub fn after(duration: Duration) -> Deadline {
         Deadline(Instant::now() + duration.min(MAX_RUN_DURATION))
     }
 
-    /// The time that remains.
+    /// Returns the time until the deadline; zero once it has passed.
     pub fn remaining(&self) -> Duration {
         self.0.saturating_duration_since(Instant::now())
     }
 
-    /// Whether more than this duration remains.
+    /// Returns whether more than this duration remains.
     pub fn allows(&self, duration: Duration) -> bool {
         self.remaining() > duration
     }
--- a/crates/capacity/src/scale/lines.rs
+++ b/crates/capacity/src/scale/lines.rs
@@ -1,5 +1,4 @@
-//! Lines through the runs of a report that was written without them, such as one of the emulator. Called by
-//! [`command`](super::command).
+//! Fits lines through the runs of a report that was written without them, such as one of the emulator.
 
 use super::error::ScaleError;
 use super::figure::{Figure, NETWORK_FIGURES};
@@ -20,8 +19,8 @@
     Axis::Restarts,
 ];
 
-/// Lines through the runs of each name, figure by figure. Runs that differ along more than one axis have none, nor have
-/// figures that are zero everywhere or that too few runs have.
+/// Fits a line through each figure of the runs of each name. There is no line for runs that differ along more than one
+/// axis, for figures that are zero everywhere, or for figures that too few runs have.
 pub fn lines_through(runs: &[Run]) -> Vec<Slope> {
     let mut names: Vec<&str> = Vec::new();
     for run in runs {
@@ -50,7 +49,7 @@
     NETWORK_FIGURES.iter().filter_map(line).collect()
 }
 
-/// The one axis along which runs differ.
+/// Returns the axis along which runs differ; `None` unless there is exactly one.
 fn only_axis(runs: &[&Run]) -> Option<Axis> {
     let first = runs.first()?.size;
     let differs = |axis: &Axis| {
@@ -64,10 +63,10 @@
     }
 }
 
-/// The text of a report with lines through its runs; the rest is not changed.
+/// Returns the text of a report with lines through its runs added, and the rest unchanged.
 ///
 /// # Errors
-/// If it is not a report, or has another schema.
+/// If the text is not a report, or has an unsupported schema version.
 pub fn with_lines(text: &str) -> Result<String> {
     let report: Report = serde_json::from_str(text)?;
     if report.schema != SCHEMA {
@@ -85,7 +84,7 @@
 /// Adds lines to the file of a report.
 ///
 /// # Errors
-/// If it can't be read or written, or is not a report.
+/// If the file can't be read or written, or is not a report.
 pub fn add_to_file(file: &Path) -> Result<()> {
     let text = with_lines(&std::fs::read_to_string(file)?)?;
     std::fs::write(file, text)?;
--- a/crates/capacity/src/scale/machine.rs
+++ b/crates/capacity/src/scale/machine.rs
@@ -1,5 +1,5 @@
-//! What the system reports: the resources of the machine, processor time and memory of this process. Called by the
-//! modules that measure, and by [`single`](super::single) and [`sweep`](super::sweep) for the [`limits`](super::limits).
+//! Figures that the operating system reports: the resources of the machine, and processor time and memory of this
+//! process. The modules that measure use them, and [`limits`](super::limits) compares sizes with them.
 
 use super::error::ScaleError;
 use super::limits::Machine;
@@ -7,14 +7,14 @@
 use reelfall_testbed::Result;
 use std::time::Duration;
 
-/// The limits of this process.
+/// File with the resource limits of this process.
 const LIMITS_FILE: &str = "/proc/self/limits";
-/// The memory of the machine.
+/// File with the memory of the machine.
 const MEMORY_FILE: &str = "/proc/meminfo";
-/// The memory of this process.
+/// File with the memory usage of this process.
 const STATUS_FILE: &str = "/proc/self/status";
 
-/// The resources that this machine allows this process.
+/// Detects the resources that this machine allows this process.
 ///
 /// # Errors
 /// If the system does not report them.
@@ -31,12 +31,12 @@
     })
 }
 
-/// Cores of the machine.
+/// Returns the number of cores available to this process.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// The soft limit of open files, from the text of `/proc/self/limits`.
+/// Parses the soft limit of open files from the text of `/proc/self/limits`.
 pub fn parse_open_files(limits: &str) -> Option<usize> {
     let line = limits
         .lines()
@@ -47,7 +47,7 @@
     }
 }
 
-/// The value of a line such as `VmRSS:  12 kB`.
+/// Parses the value, in KiB, of a line such as `VmRSS:  12 kB`.
 pub fn parse_kib(text: &str, field: &str) -> Option<u64> {
     let value = text
         .lines()
@@ -55,7 +55,7 @@
     value.split_whitespace().next()?.parse().ok()
 }
 
-/// Memory that this process uses, in bytes.
+/// Returns the resident memory of this process, in bytes.
 ///
 /// # Errors
 /// If the system does not report it.
@@ -64,7 +64,7 @@
     Ok(parse_bytes(&status, "VmRSS", STATUS_FILE)?)
 }
 
-/// Most memory that this process has used so far, in bytes.
+/// Returns the peak resident memory of this process so far, in bytes.
 ///
 /// # Errors
 /// If the system does not report it.
@@ -73,7 +73,7 @@
     Ok(parse_bytes(&status, "VmHWM", STATUS_FILE)?)
 }
 
-/// Processor time that the calling thread has used.
+/// Returns the processor time that the calling thread has used.
 ///
 /// # Errors
 /// If the system does not report it.
--- a/crates/capacity/src/scale/mod.rs
+++ b/crates/capacity/src/scale/mod.rs
@@ -1,6 +1,6 @@
-//! Scale runs: what the control side of a fleet costs each node, measured over growing sizes.
+//! Scale runs: measurements of the cost of the control side for each node of a fleet, over growing sizes.
 //!
-//! The runs, and the command line that starts them:
+//! Runs, and the command line that starts them:
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -10,7 +10,7 @@
 //! | [`smoke`] | a small fleet in virtual time, with a verdict |
 //! | [`lines`] | lines through the runs of a report that has none |
 //!
-//! What is run:
+//! Simulated and real nodes, and computations:
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -22,14 +22,14 @@
 //! | [`computation`] | single computations of a node, run in processes by [`computation_process`] |
 //! | [`settings`] | settings files of any size |
 //!
-//! What is measured and written:
+//! Measurement, statistics and reports:
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`window`] | a window of measurement; its changes are in [`schedule`] |
 //! | [`counters`] | counters of simulated nodes |
 //! | [`datagram`], [`sampler`] | kinds of datagrams, and their shares of the traffic |
-//! | [`machine`], [`limits`] | what the system reports, and what fits on it |
+//! | [`machine`], [`limits`] | resources that the system reports, and limits of a run |
 //! | [`report`] | the figures in JSON, as the emulator writes them too |
 //! | [`record`] | the JSON file: a report with notes; its printed form is in [`record_text`] |
 //! | [`figure`], [`sweep_fit`] | figures of runs, and fits through them |
--- a/crates/capacity/src/scale/network.rs
+++ b/crates/capacity/src/scale/network.rs
@@ -13,17 +13,17 @@
 use std::sync::{Arc, PoisonError};
 use std::thread::JoinHandle;
 
-/// Separates the random streams of a run.
+/// Multiplier of the seed, so that the random streams of different seeds don't overlap.
 const STREAM_FACTOR: u64 = 0x9e37_79b9;
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS: f64 = 1e6;
 
-/// The nodes and their threads. They end when this is dropped.
+/// The simulated nodes and the threads that drive them, which stop when this is dropped.
 pub struct Network {
-    /// What all threads share.
+    /// State shared by all threads.
     pub state: Arc<FleetState>,
     threads: Vec<JoinHandle<()>>,
-    /// Memory of this process before there were nodes, in bytes.
+    /// Resident memory of this process before the nodes were created, in bytes.
     resident_before: u64,
 }
 
@@ -31,7 +31,7 @@
     /// Opens a socket for each node and starts the threads that drive them.
     ///
     /// # Errors
-    /// If a socket can't be opened or a thread not be started.
+    /// If a socket can't be opened or a thread can't be started.
     pub fn start(
         nodes: usize,
         discovery: Arc<DiscoveryStub>,
@@ -54,7 +54,7 @@
         Ok(network)
     }
 
-    /// Distributes the nodes over the threads in turn, and starts these.
+    /// Distributes the nodes over the threads round-robin, and starts the threads.
     fn start_threads(&mut self, sockets: Vec<UdpSocket>, threads: usize) -> Result<()> {
         let mut nodes_by_thread: Vec<Vec<drive::OpenNode>> =
             (0..threads).map(|_| Vec::new()).collect();
@@ -71,23 +71,24 @@
         Ok(())
     }
 
-    /// How many nodes there are, in whichever state.
+    /// Returns the number of nodes, in any state.
     pub fn node_count(&self) -> usize {
         self.state.nodes.len()
     }
 
-    /// How many threads drive them.
+    /// Returns the number of threads that drive the nodes.
     pub fn thread_count(&self) -> usize {
         self.threads.len().max(1)
     }
 
-    /// The nodes that run.
+    /// Returns the indexes of the running nodes.
     pub fn running_nodes(&self) -> Vec<usize> {
         let runs = |index: &usize| self.state.nodes[*index].state() == NodeState::Running;
         (0..self.node_count()).filter(runs).collect()
     }
 
-    /// Whether each running node knows all running ones, and as many others as run outside of this process.
+    /// Returns whether each running node knows as many members as there are running nodes here and `external_nodes` outside of
+    /// this process.
     pub fn has_converged(&self, external_nodes: usize) -> bool {
         let running = self.running_nodes();
         let expected = running.len() + external_nodes;
@@ -103,7 +104,7 @@
         self.state.nodes[index].set_state(state);
     }
 
-    /// The nodes of some zones.
+    /// Returns the indexes of the nodes in some zones.
     pub fn nodes_in_zones(&self, zones: Range<usize>) -> Vec<usize> {
         (0..self.node_count())
             .filter(|index| zones.contains(&self.state.nodes[*index].zone))
@@ -120,7 +121,7 @@
         self.state.set_zone(address, zone);
     }
 
-    /// Bans a server at a node for so many seconds; the server's name is the time of the ban.
+    /// Bans a server at a node for `seconds` seconds; the server's name contains the time of the ban.
     pub fn ban(&self, index: usize, seconds: f64) {
         self.state.nodes[index].request_ban(seconds);
     }
@@ -130,7 +131,7 @@
         self.state.refresh_snapshots();
     }
 
-    /// The sums of all counters.
+    /// Sums the counters of all nodes and the processor time of all threads.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
         for node in &self.state.nodes {
@@ -142,7 +143,7 @@
         totals
     }
 
-    /// Begins a window: peaks, the sample and propagation times are reset.
+    /// Begins a window: resets peaks, the sample and propagation times. Returns the totals at its start.
     pub fn begin_window(&self) -> Totals {
         self.state.window.fetch_add(1, Ordering::Relaxed);
         self.state
@@ -164,7 +165,7 @@
         all
     }
 
-    /// Most bytes of any node within a second of the window.
+    /// Returns the most bytes of any node within one second of the window.
     pub fn peak_bytes(&self) -> f64 {
         let peaks = self
             .state
@@ -174,7 +175,7 @@
         peaks.max().unwrap_or(0) as f64
     }
 
-    /// Memory of each node, in bytes: the growth of this process since there are nodes.
+    /// Returns the mean memory of a node, in bytes: the growth of this process since before the nodes were created.
     ///
     /// # Errors
     /// If the system does not report it.
@@ -183,7 +184,7 @@
         Ok(growth as f64 / self.node_count().max(1) as f64)
     }
 
-    /// A random generator for one stream of the run.
+    /// Creates a random generator for one stream of the run.
     pub fn rng(&self, stream: u64) -> SeededRng {
         SeededRng(
             self.state
--- a/crates/capacity/src/scale/plan.rs
+++ b/crates/capacity/src/scale/plan.rs
@@ -1,26 +1,26 @@
-//! The parameters of one scale run. Made by [`super::command`], used by [`super::single`].
+//! The parameters of one scale run.
 
 use super::limits::Deadline;
 use super::report::Size;
 use reelfall_testbed::scripted::Program;
 use std::path::PathBuf;
 
-/// The parameters of a run.
+/// The parameters of a run at one size.
 pub struct Plan {
-    /// The node's program, for real nodes.
+    /// The node program that real nodes run.
     pub node_program: Program,
-    /// This program, for computations.
+    /// Path of this program, which measures computations in separate processes.
     pub own_program: PathBuf,
     /// The size of the system.
     pub size: Size,
-    /// Real nodes.
+    /// Number of real nodes.
     pub real_nodes: usize,
-    /// Threads that drive the simulated ones.
+    /// Threads that drive the simulated nodes.
     pub threads: usize,
-    /// Length of each window.
+    /// Length of each window, in seconds.
     pub window_seconds: f64,
-    /// For all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// When the run has to end.
+    /// Time at which the run has to end.
     pub deadline: Deadline,
 }
--- a/crates/capacity/src/scale/plot.rs
+++ b/crates/capacity/src/scale/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of sweeps, as SVG. Called by [`command`](super::command); the pages refer to the files by [`file_name`].
+//! SVG plots of sweeps. The generated pages refer to the files by [`file_name`].
 
 use super::error::ScaleError;
 use super::fit::Extent;
@@ -15,7 +15,7 @@
 const HEIGHT: u32 = 400;
 /// Padding of an axis, as a ratio to its extent.
 const PADDING_RATIO: f64 = 0.05;
-/// Least padding, as a ratio to the largest value: an extent may be empty.
+/// Smallest padding, as a ratio to the largest value, for an extent that is empty.
 const MIN_PADDING_RATIO: f64 = 1e-6;
 /// Size of the caption, in pixels.
 const CAPTION_SIZE: u32 = 16;
@@ -41,7 +41,7 @@
     Ok(())
 }
 
-/// The name of a plot's file: the axis and the figure, in letters, digits and `-`.
+/// Returns the file name of a plot: the axis and the figure, in letters, digits and `-`.
 pub fn file_name(slope: &Slope) -> String {
     let text = format!("{:?} {}", slope.axis, slope.figure).to_lowercase();
     let words: Vec<&str> = text
--- a/crates/capacity/src/scale/real.rs
+++ b/crates/capacity/src/scale/real.rs
@@ -20,24 +20,24 @@
 
 /// Stub servers of the service that serves requests.
 const SERVER_COUNT: usize = 8;
-/// Requests that each serves at once.
+/// Requests that each stub server serves concurrently.
 const SERVER_CAPACITY: usize = 16;
 /// Service time of a request.
 pub const SERVICE_TIME: Duration = Duration::from_millis(2);
-/// Requests a second at each real node.
+/// Requests per second at each real node.
 pub const REQUEST_RATE: f64 = 40.0;
-/// Most servers of a list: nodes reject lists above 4 MiB.
+/// Largest number of servers in a list: nodes reject lists above 4 MiB.
 pub const MAX_LISTED_SERVERS: usize = 20_000;
-/// Percentage of requests that have to be served, or response times mean nothing.
+/// Percentage of requests that have to be served for the response times to be meaningful.
 const MIN_SERVED_PERCENT: u64 = 98;
-/// Separates the seeds of the nodes' clients.
+/// Multiplier of the seed, so that the clients of different nodes and rounds get different seeds.
 const LOAD_SEED_FACTOR: u64 = 97;
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS: f64 = 1e6;
 /// The port of listed servers (discard): nothing listens there.
 const UNUSED_PORT: u16 = 9;
 
-/// The nodes and what they need. All of it ends when this is dropped.
+/// The real nodes, their stub servers and their discovery service, which all stop when this is dropped.
 pub struct RealNodes {
     nodes: Vec<RunningNode>,
     discovery: Discovery,
@@ -45,7 +45,7 @@
     _folder: Folder,
 }
 
-/// One node. It is killed when this is dropped.
+/// A running node process, which is killed when this is dropped.
 struct RunningNode {
     address: SocketAddr,
     pid: u32,
@@ -53,7 +53,7 @@
 }
 
 impl RunningNode {
-    /// Reads the output of a node, so that it never blocks on that.
+    /// Reads the output of a node continuously, so that the node never blocks on a full pipe.
     fn supervise(mut node: Node) -> RunningNode {
         let (address, pid) = (node.address(), node.pid());
         let task = reelfall_testbed::spawn(async move {
@@ -69,16 +69,16 @@
     }
 }
 
-/// Processor time of all nodes up to one time, in seconds.
+/// Processor time that all nodes had used at one time, in seconds.
 pub struct Usage {
     cpu: f64,
 }
 
 impl RealNodes {
-    /// Starts so many nodes in the network's fleet, each with a list of so many servers.
+    /// Starts `count` nodes in the network's fleet, each with a list of `listed` servers, at most [`MAX_LISTED_SERVERS`].
     ///
     /// # Errors
-    /// If something does not start.
+    /// If a server, the discovery service or a node can't be started.
     pub async fn start(
         program: &Program,
         count: usize,
@@ -116,12 +116,12 @@
         })
     }
 
-    /// How many there are.
+    /// Returns the number of real nodes.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Sends the restart of a listed server to the nodes.
+    /// Sends the restart of a listed server to the nodes. Servers beyond [`MAX_LISTED_SERVERS`] are not listed and are ignored.
     pub fn list_restart(&self, server: usize) {
         if server >= MAX_LISTED_SERVERS {
             return;
@@ -134,10 +134,10 @@
         self.discovery.update(&[ListedServer { since_ms, ..entry }]);
     }
 
-    /// What the nodes have used so far.
+    /// Returns the processor time that the nodes have used so far.
     ///
     /// # Errors
-    /// If one has ended.
+    /// If a node has exited.
     pub fn usage(&self) -> Result<Usage> {
         let mut cpu = 0.0;
         for node in &self.nodes {
@@ -146,10 +146,10 @@
         Ok(Usage { cpu })
     }
 
-    /// What they have used since, as a run.
+    /// Returns the mean usage of a node since `since`, as a run.
     ///
     /// # Errors
-    /// If one has ended.
+    /// If a node has exited.
     pub fn run(&self, name: &str, size: &Size, since: &Usage, seconds: f64) -> Result<Run> {
         let count = self.nodes.len().max(1) as f64;
         let mut memory = 0.0;
@@ -174,10 +174,10 @@
         })
     }
 
-    /// Sends requests to every node for so many seconds; the response times in microseconds.
+    /// Sends requests to every node for `seconds` seconds. Returns the response times in microseconds.
     ///
     /// # Errors
-    /// If fewer than [`MIN_SERVED_PERCENT`] of 100 were served.
+    /// If fewer than [`MIN_SERVED_PERCENT`] percent were served, or there is no node.
     pub async fn load(&self, seconds: f64, seed: u64) -> Result<Histogram<u64>> {
         let duration = Duration::from_secs_f64(seconds);
         let mut clients = tokio::task::JoinSet::new();
@@ -215,17 +215,17 @@
     let mut servers = Vec::with_capacity(SERVER_COUNT);
     for index in 0..SERVER_COUNT {
         let name = format!("s{index}");
-        let manner = ServerBehavior::healthy(SERVICE_TIME);
-        let server = Server::start(&name, SERVER_CAPACITY, manner, index as u64).await?;
+        let behavior = ServerBehavior::healthy(SERVICE_TIME);
+        let server = Server::start(&name, SERVER_CAPACITY, behavior, index as u64).await?;
         servers.push(server);
     }
     Ok(servers)
 }
 
-/// The distributions of response times over several rounds; `None` without rounds.
+/// Computes the distributions of response times over several rounds; `None` without rounds.
 ///
 /// # Errors
-/// If two rounds can't be added.
+/// If the histograms of two rounds can't be added.
 pub fn request_times(
     at_rest: &[Histogram<u64>],
     under_changes: &[Histogram<u64>],
@@ -257,9 +257,9 @@
     }))
 }
 
-/// The address of a listed server: nothing listens there, and no request is sent to it.
+/// Returns the address of a listed server. Nothing listens there, and no request is sent to it.
 fn listed_address(server: usize) -> SocketAddr {
-    // From 127.77.1.0 on.
+    // Addresses start at 127.77.1.0.
     let [_, _, high, low] = (server as u32 + 256).to_be_bytes();
     SocketAddr::from(([127, 77, high, low], UNUSED_PORT))
 }
--- a/crates/capacity/src/scale/real_settings.rs
+++ b/crates/capacity/src/scale/real_settings.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the settings of all real nodes have in common.
+/// The parameters that the settings of all real nodes share.
 pub struct RealFleet<'a> {
-    /// How many real nodes there are.
+    /// Number of real nodes.
     pub count: usize,
     /// The simulated nodes of the same fleet.
     pub network: &'a Network,
@@ -17,12 +17,12 @@
     pub key_file: &'a Path,
     /// The stub servers of the service that serves requests.
     pub servers: &'a [Server],
-    /// The discovery service of the other one.
+    /// Address of the discovery service that the other service follows.
     pub discovery: SocketAddr,
 }
 
 impl RealFleet<'_> {
-    /// The settings of one node: a service that serves requests, and one that only follows a list.
+    /// Renders the settings of one node: a service that serves requests, and one that only follows an endpoint list.
     pub fn settings(&self, index: usize) -> String {
         let seeds: Vec<String> = self
             .network
--- a/crates/capacity/src/scale/record.rs
+++ b/crates/capacity/src/scale/record.rs
@@ -1,5 +1,5 @@
-//! The JSON file of a run: its report, with notes on how the figures came about. Written by every kind of run, read by
-//! the page generator ([`budget`](crate::budget)). What is added to a record is printed as well.
+//! The JSON file of a run: its report, with notes on how the figures were measured. Every kind of run writes it, and
+//! the page generator ([`budget`](crate::budget)) reads it. Runs, lines and notes are also printed as they are added.
 
 use super::error::ScaleError;
 use super::machine;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Two axes; in JSON an array of both.
+/// A pair of axes, serialized as an array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Axis, Axis)", into = "(Axis, Axis)")]
 pub struct AxisPair {
@@ -32,7 +32,7 @@
     }
 }
 
-/// A point of a fit by two axes; in JSON an array of all three.
+/// A point of a fit by two axes, serialized as an array of the three values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct InteractionPoint {
@@ -69,32 +69,32 @@
     pub figure: String,
     /// The points.
     pub points: Vec<InteractionPoint>,
-    /// Constant, the first axis, the second one, their product.
+    /// Coefficients of the constant, the first axis, the second axis and their product.
     #[serde(rename = "factors")]
     pub coefficients: Vec<f64>,
-    /// The standard error of each.
+    /// Standard errors of the coefficients.
     pub standard_errors: Vec<f64>,
 }
 
 /// Propagation times of list updates, in one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListPropagation {
-    /// The run.
+    /// Name of the run.
     pub run: String,
-    /// The times.
+    /// Distribution of the times, in seconds.
     pub times: Times,
 }
 
 /// Time until all running nodes knew each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Convergence {
-    /// The event before: the start, or a fault scenario.
+    /// The preceding event: the start, or a fault scenario.
     pub after: String,
-    /// Seconds; `None` after a timeout.
+    /// Seconds until convergence; `None` after a timeout.
     pub seconds: Option<f64>,
 }
 
-/// What changes added to response times in one round.
+/// Difference between response times under changes and at rest, in one round.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AddedLatency {
     /// Difference of the medians, in seconds.
@@ -106,9 +106,9 @@
 /// Utilization of the threads that drive simulated nodes, in one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Utilization {
-    /// The run.
+    /// Name of the run.
     pub run: String,
-    /// The share of their time that they worked.
+    /// Fraction of the time in which the threads were busy.
     pub share: f64,
 }
 
@@ -127,7 +127,7 @@
     /// Convergence times.
     #[serde(default, rename = "gathered")]
     pub convergences: Vec<Convergence>,
-    /// What changes added to response times, by round.
+    /// Latency that changes added to response times, by round.
     #[serde(default, rename = "added")]
     pub added_latencies: Vec<AddedLatency>,
     /// Utilization of the threads, by run.
@@ -136,19 +136,19 @@
     /// Whether the run omitted a part.
     #[serde(default, rename = "partial")]
     pub is_partial: bool,
-    /// What was omitted, and how the figures came about.
+    /// Notes on omitted parts and on how the figures were measured.
     #[serde(default)]
     pub notes: Vec<String>,
 }
 
-/// The schema of a report, whatever else is in it.
+/// The schema version of a report, without its other fields.
 #[derive(Deserialize)]
 struct Versioned {
     schema: u32,
 }
 
 impl Record {
-    /// An empty record of this program.
+    /// Creates an empty record for the current commit.
     pub fn new(seed: u64) -> Record {
         let report = Report {
             schema: SCHEMA,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Merges the record of another process, which has printed it already.
+    /// Merges the record of another process without printing it, as that process has already printed it.
     pub fn merge(&mut self, other: Record) {
         self.report.runs.extend(other.report.runs);
         self.report.slopes.extend(other.report.slopes);
@@ -190,7 +190,7 @@
         self.notes.push(note);
     }
 
-    /// Notes the omission of a part: the record is partial.
+    /// Marks the record as partial and notes the omitted part.
     pub fn note_omission(&mut self, part: impl Into<String>) {
         self.is_partial = true;
         self.note(format!("left out: {}", part.into()));
@@ -208,18 +208,18 @@
         self.report.slopes.push(slope);
     }
 
-    /// The JSON text.
+    /// Renders the record as JSON.
     ///
     /// # Errors
-    /// If a figure can't be written.
+    /// If a value can't be serialized.
     pub fn to_json(&self) -> Result<String> {
         Ok(serde_json::to_string_pretty(self)? + "\n")
     }
 
-    /// Reads a JSON text.
+    /// Reads a record from JSON.
     ///
     /// # Errors
-    /// If it is not a record, or has another schema.
+    /// If the text is not a record, or has an unsupported schema version.
     pub fn from_json(text: &str) -> Result<Record> {
         let Versioned { schema } = serde_json::from_str(text)?;
         if schema != SCHEMA {
@@ -232,10 +232,10 @@
         Ok(serde_json::from_str(text)?)
     }
 
-    /// Writes the JSON to a file, if one is named.
+    /// Writes the JSON to a file, if one is given.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// If the file can't be written.
     pub fn write(&self, file: Option<&Path>) -> Result<()> {
         if let Some(file) = file {
             std::fs::write(file, self.to_json()?)?;
@@ -245,7 +245,7 @@
     }
 }
 
-/// The commit of the working directory's repository, with `-dirty` if files differ from it.
+/// Returns the commit of the repository in the working directory, with `-dirty` if files differ from it.
 fn commit() -> String {
     let output = Command::new("git")
         .args(["describe", "--always", "--dirty", "--abbrev=12"])
--- a/crates/capacity/src/scale/record_text.rs
+++ b/crates/capacity/src/scale/record_text.rs
@@ -2,12 +2,12 @@
 
 use super::report::{PerNode, RequestTimes, Run, Slope, Source, Traffic};
 
-/// Milliseconds of a second.
+/// Milliseconds per second.
 const MILLISECONDS: f64 = 1e3;
-/// Bytes of a mebibyte.
+/// Bytes per mebibyte.
 const MIB: u32 = 1 << 20;
 
-/// One run as a line of text.
+/// Renders a run as one line of text.
 pub fn run_text(run: &Run) -> String {
     let percent = run.per_node.cpu * 100.0;
     let mut text = format!(
@@ -37,7 +37,7 @@
     text
 }
 
-/// The axes that the figures of a run depend on.
+/// Renders the axes that the figures of a run depend on.
 fn size_text(run: &Run) -> String {
     let size = &run.size;
     if run.source == Source::Computation {
@@ -72,7 +72,7 @@
     )
 }
 
-/// A line through a sweep with its error and residuals, and its projection to the target unless the points bend.
+/// Renders a line through a sweep with its error and residuals, and its projection to the target unless the points bend.
 pub fn slope_text(slope: &Slope) -> String {
     let residuals: Vec<String> = slope
         .residuals
--- a/crates/capacity/src/scale/request_rounds.rs
+++ b/crates/capacity/src/scale/request_rounds.rs
@@ -1,5 +1,5 @@
-//! Requests through the real nodes, alternately at rest and under changes: what changes add to response times. A part
-//! of [`single`](super::single).
+//! Sends requests through the real nodes, alternately at rest and under changes, to measure the latency that changes
+//! add. Part of a [`single`](super::single) run.
 
 use super::network::Network;
 use super::plan::Plan;
@@ -12,9 +12,9 @@
 use reelfall_testbed::Result;
 use std::time::Duration;
 
-/// Rounds of a window at rest and one under changes.
+/// Number of rounds, each with a window at rest and one under changes.
 pub const ROUNDS: u64 = 3;
-/// Microseconds of a second.
+/// Microseconds per second.
 const MICROSECONDS: f64 = 1e6;
 
 /// Response times of the rounds so far, in microseconds.
@@ -24,10 +24,10 @@
     under_changes: Vec<Histogram<u64>>,
 }
 
-/// Runs the rounds, as many as there is time for.
+/// Runs as many rounds as the deadline allows.
 ///
 /// # Errors
-/// If the system does not report what is used, or too many requests fail.
+/// If the system does not report the resource usage, or too many requests fail.
 pub async fn run(
     plan: &Plan,
     network: &Network,
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// A window of changes with requests through the real nodes, whose figures are returned.
+/// Measures a window of changes with requests through the real nodes. Returns the run of the real nodes.
 async fn measure_under_changes(
     network: &Network,
     real: &RealNodes,
@@ -94,7 +94,7 @@
 }
 
 impl ResponseTimes {
-    /// Records what changes added in the last round.
+    /// Records the latency that changes added in the last round.
     fn record_added(&self, round: u64, record: &mut Record) {
         let added_us = |quantile: f64| {
             last_quantile(&self.under_changes, quantile) - last_quantile(&self.at_rest, quantile)
@@ -105,12 +105,12 @@
             p99: p99 / MICROSECONDS,
         });
         record.note(format!(
-            "requests, round {round}: under changes less at rest p50 {p50:+.0} us, p99 {p99:+.0} us"
+            "requests, round {round}: under changes minus at rest p50 {p50:+.0} us, p99 {p99:+.0} us"
         ));
     }
 }
 
-/// A quantile of the last round, in microseconds.
+/// Returns a quantile of the last round, in microseconds; zero without rounds.
 fn last_quantile(rounds: &[Histogram<u64>], quantile: f64) -> f64 {
     rounds.last().map_or(0.0, |histogram| {
         histogram.value_at_quantile(quantile) as f64
--- a/crates/capacity/src/scale/sampler.rs
+++ b/crates/capacity/src/scale/sampler.rs
@@ -1,13 +1,13 @@
-//! Sampling of datagrams by kind: [`drive`](super::drive) offers all that it sends, [`window`](super::window) takes
-//! the sample.
+//! Sampling of datagrams by kind: [`drive`](super::drive) offers every datagram that it sends, and
+//! [`window`](super::window) takes the sample.
 
 use super::datagram::{classify, fleet_secret, ClassifiedDatagram, DatagramKind};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One of so many datagrams is sampled: to classify all would take more time than the nodes do.
+/// One datagram in this many is sampled: classifying all of them would take more processor time than the nodes.
 pub const SAMPLING_INTERVAL: u64 = 16;
-/// Datagrams that wait to be classified; further ones are dropped.
+/// Capacity of the queue of datagrams to classify; further ones are dropped.
 const QUEUE_LEN: usize = 4096;
 
 /// Datagrams and bytes of each kind.
@@ -17,12 +17,12 @@
     bytes: [u64; DatagramKind::COUNT],
 }
 
-/// The part of one kind in a sample.
+/// Shares of one kind in a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KindShares {
-    /// Of the datagrams.
+    /// Fraction of the datagrams.
     pub messages: f64,
-    /// Of the bytes.
+    /// Fraction of the bytes.
     pub bytes: f64,
 }
 
@@ -34,17 +34,17 @@
         self.bytes[DatagramKind::Entries as usize] += datagram.entry_bytes as u64;
     }
 
-    /// Datagrams of a kind.
+    /// Returns the number of datagrams of a kind.
     pub fn messages(&self, kind: DatagramKind) -> u64 {
         self.messages[kind as usize]
     }
 
-    /// Bytes of a kind.
+    /// Returns the number of bytes of a kind.
     pub fn bytes(&self, kind: DatagramKind) -> u64 {
         self.bytes[kind as usize]
     }
 
-    /// The part of a kind in the sample; zero in an empty one.
+    /// Returns the shares of a kind in the sample; zero if the sample is empty.
     pub fn shares(&self, kind: DatagramKind) -> KindShares {
         let share = |counts: &[u64; DatagramKind::COUNT]| {
             counts[kind as usize] as f64 / counts.iter().sum::<u64>().max(1) as f64
@@ -88,10 +88,10 @@
         Ok(Sampler { queue, sample })
     }
 
-    /// Offers a datagram, of which a node has sent `sent_before`.
+    /// Offers a datagram of a node that has sent `sent_before` datagrams before it.
     pub fn offer(&self, sent_before: u64, datagram: &[u8]) {
         if sent_before.is_multiple_of(SAMPLING_INTERVAL) {
-            // With a full queue, the sample does without it.
+            // If the queue is full, the datagram is left out of the sample.
             let _ = self.queue.try_send(datagram.to_vec());
         }
     }
--- a/crates/capacity/src/scale/schedule.rs
+++ b/crates/capacity/src/scale/schedule.rs
@@ -1,32 +1,32 @@
-//! When servers are banned and restarted within a window, for [`window`](super::window).
+//! The schedule of bans and server restarts within a [`window`](super::window).
 
 use super::discovery_stub::ALWAYS_FAILING_SERVERS;
 use super::report::Size;
 use reelfall_testbed::SeededRng;
 use serde::{Deserialize, Serialize};
 
-/// Seconds of a day.
+/// Seconds per day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
-/// How long a server fails before its restart is in the list, in seconds.
+/// Time that a server fails before its restart appears in the list, in seconds.
 pub const FAILURE_DURATION: f64 = 1.0;
 
-/// How often something changes.
+/// Rates of changes and restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rates {
-    /// Changes a day; a change is a ban at a random node.
+    /// Changes per day; a change is a ban at a random node.
     pub changes: usize,
-    /// Restarts of servers a day.
+    /// Server restarts per day.
     pub restarts: usize,
 }
 
 impl Rates {
-    /// Nothing changes.
+    /// No changes and no restarts.
     pub const NONE: Rates = Rates {
         changes: 0,
         restarts: 0,
     };
 
-    /// The rates of a size.
+    /// Returns the rates of a size.
     pub fn of(size: &Size) -> Rates {
         Rates {
             changes: size.changes,
@@ -42,7 +42,7 @@
     Ban,
     /// A server begins to fail.
     ServerFails(usize),
-    /// Its restart is in the list.
+    /// The restart of a server appears in the list.
     ServerRestarted(usize),
 }
 
@@ -55,7 +55,8 @@
     pub event: Event,
 }
 
-/// Evenly spaced times at a rate, in seconds: the first after half an interval, and at least one in the window.
+/// Returns evenly spaced times at a rate, in seconds since the window began. The first is after half an interval, but no later
+/// than the middle of the window, so that the window has at least one unless the rate is zero.
 pub fn event_times(per_day: usize, window_seconds: f64) -> Vec<f64> {
     if per_day == 0 {
         return Vec::new();
@@ -68,7 +69,7 @@
         .collect()
 }
 
-/// The changes of a window, in order.
+/// Returns the changes of a window, ordered by time.
 pub fn schedule(
     rates: Rates,
     window_seconds: f64,
--- a/crates/capacity/src/scale/settings.rs
+++ b/crates/capacity/src/scale/settings.rs
@@ -4,16 +4,16 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::Range;
 
-/// The servers' addresses follow this one.
+/// Address that precedes the servers' addresses.
 const BASE_ADDRESS: u32 = u32::from_be_bytes([10, 0, 0, 0]);
 /// The port of all servers.
 const SERVER_PORT: u16 = 8080;
 /// Zones that the servers are distributed over.
 const ZONES: usize = 3;
-/// One of so many routes writes; its requests must not be retried.
+/// One route in this many is a write route, whose requests must not be retried.
 const ROUTES_PER_WRITE: usize = 4;
 
-/// The text between the number of nodes and the services.
+/// The part of the file between the number of nodes and the services.
 const HEAD: &str = r#"descriptors = 65536
 memory = "2GiB"
 
@@ -60,7 +60,7 @@
     text
 }
 
-/// The indexes of one service's items, of so many in total.
+/// Returns the indexes of the items that one service gets out of `total`.
 fn items_of(total: usize, services: usize, service: usize) -> Range<usize> {
     let start = |service: usize| total / services * service + (total % services).min(service);
     start(service)..start(service + 1)
--- a/crates/capacity/src/scale/simulated_node.rs
+++ b/crates/capacity/src/scale/simulated_node.rs
@@ -18,21 +18,21 @@
 pub const OVERDUE_CHECK_INTERVAL: f64 = 0.025;
 /// Interval at which the node's program evaluates the quorum on failing servers, in seconds.
 pub const QUORUM_INTERVAL: f64 = 0.1;
-/// Attempts a second of a node at each failing server, while that is not ejected.
+/// Attempts per second of a node at each failing server that is not ejected.
 pub const ATTEMPT_RATE: f64 = 0.5;
-/// Who bans servers, as the fleet records it.
+/// Operator name that the fleet records for bans.
 const BAN_AUTHOR: &str = "scale";
 
 /// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// The address of its socket.
+    /// Address of the node's socket.
     pub address: SocketAddr,
-    /// Nodes through which it joins.
+    /// Addresses of the nodes through which it joins.
     pub seeds: Vec<SocketAddr>,
     /// Expected number of nodes of the fleet.
     pub fleet_size: u32,
@@ -41,7 +41,7 @@
 /// A server that fails, as the list names it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FailingServer {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
     /// When it last started, in milliseconds.
     pub started_ms: u64,
@@ -59,7 +59,7 @@
 }
 
 impl SimulatedNode {
-    /// A node that knows no other yet.
+    /// Creates a node that knows no other node yet.
     ///
     /// # Errors
     /// If the fleet's key is too short.
@@ -92,7 +92,7 @@
         while self.fleet.next_message().is_some() {}
     }
 
-    /// Does what is due. Returns the servers that were banned since.
+    /// Runs the timers that are due. Returns the servers banned since the last call.
     pub fn tick(&mut self, now: f64, listed: usize, failing: &[FailingServer]) -> Vec<String> {
         if now >= self.next_overdue_check {
             self.next_overdue_check = now + OVERDUE_CHECK_INTERVAL;
@@ -108,7 +108,7 @@
         banned
     }
 
-    /// When [`SimulatedNode::tick`] is due.
+    /// Returns the time at which [`SimulatedNode::tick`] is due next.
     pub fn deadline(&self) -> f64 {
         self.fleet
             .deadline()
@@ -121,12 +121,12 @@
         self.fleet.next_datagram()
     }
 
-    /// How many other members the node knows.
+    /// Returns the number of other members that the node knows.
     pub fn member_count(&self) -> usize {
         self.fleet.members().other_count()
     }
 
-    /// Bans a server for so many seconds; whether the node could publish that.
+    /// Bans a server for `seconds` seconds. Returns whether the node could publish the ban.
     pub fn ban(&mut self, now: f64, server: &str, seconds: f64) -> bool {
         self.fleet
             .ban(now, server, BAN_AUTHOR, Some(seconds))
@@ -138,7 +138,7 @@
         self.fleet.publish_list_index(now, list, index);
     }
 
-    /// Takes the fleet's events; the servers of new bans.
+    /// Takes the fleet's events. Returns the servers of new bans.
     fn banned_servers(&mut self) -> Vec<String> {
         let mut banned = Vec::new();
         while let Some(event) = self.fleet.next_event() {
@@ -159,7 +159,7 @@
         self.ejected = ejected.into_iter().map(|verdict| verdict.server).collect();
     }
 
-    /// Attempts at failing servers; at an ejected one only if this node is to probe it.
+    /// Samples attempts at failing servers. An ejected server is attempted only if this node is its prober.
     fn attempt(&mut self, now: f64, failing: &[FailingServer]) {
         for server in failing {
             let server = ServerInstance {
--- a/crates/capacity/src/scale/single.rs
+++ b/crates/capacity/src/scale/single.rs
@@ -1,5 +1,4 @@
-//! One run at one size: simulated nodes at rest and under changes, real nodes beside them, and fault scenarios. Called
-//! by [`command`](super::command).
+//! One run at one size: simulated and real nodes of one fleet at rest and under changes, and fault scenarios.
 
 use super::computation::Computation;
 use super::computation_process;
@@ -19,22 +18,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time in which a new fleet has to converge.
+/// Timeout for a new fleet to converge.
 const START_TIMEOUT: Duration = Duration::from_secs(150);
-/// How long a fleet rests after it has converged, before anything is measured.
+/// Wait between convergence and the first measurement.
 const SETTLE_DURATION: Duration = Duration::from_secs(10);
-/// Time that has to remain for a fault scenario.
+/// Time that has to remain before the deadline for a fault scenario to start.
 const MAX_SCENARIO_DURATION: Duration = Duration::from_secs(45);
 
-/// Threads that drive simulated nodes: half of the cores, so that some are left for real nodes and clients.
+/// Default number of threads that drive simulated nodes: half of the cores, which leaves the others for real nodes and
+/// clients.
 pub fn default_threads() -> usize {
     (machine::cores() / 2).max(1)
 }
 
-/// Runs it. The record has notes on what did not fit into the time.
+/// Runs the plan. The record has notes on parts that were omitted because of failures or the deadline.
 ///
 /// # Errors
-/// If the size does not fit the machine, or something does not start.
+/// If the size exceeds the limits of the machine, or the nodes can't be started.
 pub async fn run(plan: &Plan) -> Result<Record> {
     machine::detect()?.check(&plan.size, plan.real_nodes)?;
     let mut record = Record::new(plan.seed);
@@ -75,24 +75,24 @@
     }
 }
 
-/// Notes how the figures of this run came about.
+/// Notes how the figures of this run are measured.
 fn note_setup(plan: &Plan, network: &Network, real: &RealNodes, record: &mut Record) {
     record.note(format!(
-        "{} hollow nodes on {} threads of one process and {} real nodes; a change is a ban by hand; a list's line \
-         reaches hollow nodes over a channel of the process; memory of a hollow node is the growth of the process over \
-         all of them; kinds by one datagram of {SAMPLING_INTERVAL}",
+        "{} hollow nodes on {} threads of one process and {} real nodes; a change is an operator's ban; list updates \
+         reach hollow nodes over a channel within the process; memory of a hollow node is the growth of the process divided \
+         by their number; traffic by kind is estimated from one datagram in {SAMPLING_INTERVAL}",
         plan.size.nodes,
         network.thread_count(),
         real.count(),
     ));
     if plan.size.servers > MAX_LISTED_SERVERS {
         record.note(format!(
-            "the list of the real nodes has {MAX_LISTED_SERVERS} servers: a longer one is refused by nodes"
+            "the list of the real nodes has {MAX_LISTED_SERVERS} servers: nodes reject longer lists"
         ));
     }
 }
 
-/// Waits until the new fleet has converged; whether it has in time.
+/// Waits until the new fleet has converged. Returns whether it did so within the timeout.
 async fn await_start(
     plan: &Plan,
     network: &Network,
@@ -106,7 +106,9 @@
         seconds,
     });
     match seconds {
-        Some(seconds) => record.note(format!("start: all know all after {seconds:.1} s")),
+        Some(seconds) => record.note(format!(
+            "start: all nodes know each other after {seconds:.1} s"
+        )),
         None => {
             record.note_omission(format!(
                 "all: not all nodes know each other after {timeout:?}"
@@ -116,7 +118,7 @@
     seconds.is_some()
 }
 
-/// A window without changes and requests: the cost of control by itself.
+/// Measures a window without changes and requests, which shows the cost of control alone.
 async fn measure_at_rest(
     plan: &Plan,
     network: &Network,
@@ -140,7 +142,7 @@
     Ok(())
 }
 
-/// The fault scenarios, one after another.
+/// Runs the fault scenarios one after another.
 async fn run_scenarios(plan: &Plan, network: &Network, external_nodes: usize, record: &mut Record) {
     let fault_run = FaultRun {
         network,
@@ -159,7 +161,7 @@
     }
 }
 
-/// Notes the failure of one part, so that the others still run.
+/// Notes the failure of one part as an omission, so that the other parts still run.
 fn note_failure(record: &mut Record, part: &str, result: Result<()>) {
     if let Err(error) = result {
         record.note_omission(format!("{part}: {error}"));
--- a/crates/capacity/src/scale/smoke.rs
+++ b/crates/capacity/src/scale/smoke.rs
@@ -1,5 +1,5 @@
-//! The smoke run: a fleet in virtual time, and the statistics on fixed inputs. Called by [`command`](super::command).
-//! It reads no clock of the machine, so that its verdict is the same every time.
+//! The smoke run: fleets in virtual time, and checks of the statistics on fixed inputs. It doesn't read the machine's
+//! clock, so its verdict is deterministic.
 
 use super::fit::{self, Point, ROUNDING_TOLERANCE};
 use super::record::Record;
@@ -10,19 +10,19 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Sizes of the fleets.
+/// Numbers of nodes of the fleets.
 pub const SIZES: [usize; 5] = [8, 12, 16, 20, 24];
-/// Time in which a new fleet has to converge, in virtual seconds.
+/// Timeout for a new fleet to converge, in virtual seconds.
 const CONVERGENCE_TIMEOUT: f64 = 30.0;
 /// Interval at which convergence is checked, in virtual seconds.
 const CONVERGENCE_POLL_INTERVAL: f64 = 0.1;
 /// Length of each window, in virtual seconds.
 const WINDOW_SECONDS: f64 = 10.0;
-/// Time in which a ban has to be in force at all nodes, in virtual seconds.
+/// Longest time until a ban is in force at all nodes, in virtual seconds.
 pub const MAX_BAN_PROPAGATION: f64 = 2.0;
-/// Control traffic of a node, sent and received, in bytes a second.
+/// Largest control traffic of a node, sent and received, in bytes per second.
 pub const MAX_CONTROL_TRAFFIC: f64 = 8192.0;
-/// Interval at which the spread of a ban is checked, in virtual seconds.
+/// Interval at which the propagation of a ban is checked, in virtual seconds.
 const BAN_POLL_INTERVAL: f64 = 0.01;
 /// The server that is banned.
 const BANNED_SERVER: &str = "server-1";
@@ -42,7 +42,7 @@
 /// Runs the fleets of all sizes, then the checks on the statistics and the report.
 ///
 /// # Errors
-/// If the report can't be written and read.
+/// If the report can't be serialized or read back.
 pub fn run(seed: u64) -> Result<SmokeResult> {
     let mut smoke = SmokeResult {
         record: Record::new(seed),
@@ -68,7 +68,7 @@
 }
 
 impl SmokeResult {
-    /// Adds a line without printing its projection: larger fleets are the business of larger runs.
+    /// Adds a line without printing its projection, which is meaningful only for larger runs.
     fn add_line(&mut self, figure: &str, points: &[Point]) {
         match fit::slope(Axis::Nodes, figure, points) {
             Some(slope) => self.record.report.slopes.push(slope),
@@ -86,13 +86,13 @@
         );
         if !is_equal_but_for_rounding(&read, &written) {
             self.violations
-                .push("the report is not read as it was written".to_owned());
+                .push("the report differs after a JSON round trip".to_owned());
         }
         Ok(())
     }
 }
 
-/// Whether two reports are equal but for the last digit of their figures, which reading may round.
+/// Returns whether two reports are equal except for rounding of their figures when they are read.
 fn is_equal_but_for_rounding(left: &Value, right: &Value) -> bool {
     match (left, right) {
         (Value::Number(left), Value::Number(right)) => match (left.as_f64(), right.as_f64()) {
@@ -132,31 +132,31 @@
     }
 }
 
-/// Runs one fleet: it converges, idles for a window, and spreads a ban.
+/// Runs one fleet until it converges, then measures an idle window and the propagation of a ban.
 fn run_fleet(nodes: usize, seed: u64, violations: &mut Vec<String>) -> Option<Run> {
-    let mut world = Cluster::new(nodes, seed, |_| default_config());
-    if !converge(&mut world) {
+    let mut cluster = Cluster::new(nodes, seed, |_| default_config());
+    if !converge(&mut cluster) {
         violations.push(format!(
-            "{nodes} nodes do not know each other after {CONVERGENCE_TIMEOUT} s"
+            "{nodes} nodes: the fleet has not converged after {CONVERGENCE_TIMEOUT} s"
         ));
         return None;
     }
-    world.run(WINDOW_SECONDS);
-    let traffic = measure_traffic(&mut world, nodes);
+    cluster.run(WINDOW_SECONDS);
+    let traffic = measure_traffic(&mut cluster, nodes);
     let control_traffic = 2.0 * traffic.bytes_out;
     if control_traffic > MAX_CONTROL_TRAFFIC {
         violations.push(format!(
-            "{nodes} nodes: {control_traffic:.0} B/s a node, {MAX_CONTROL_TRAFFIC} at most"
+            "{nodes} nodes: control traffic of {control_traffic:.0} B/s per node exceeds {MAX_CONTROL_TRAFFIC} B/s"
         ));
     }
-    let propagation = spread_ban(&mut world);
+    let propagation = spread_ban(&mut cluster);
     if propagation.len() < nodes {
         violations.push(format!(
-            "{nodes} nodes: a ban is in force at {} within {MAX_BAN_PROPAGATION} s",
+            "{nodes} nodes: a ban is in force at only {} nodes within {MAX_BAN_PROPAGATION} s",
             propagation.len()
         ));
     }
-    let found = world.violations.iter();
+    let found = cluster.violations.iter();
     violations.extend(found.map(|violation| format!("{nodes} nodes: {violation}")));
     Some(Run {
         name: RUN_NAME.to_owned(),
@@ -174,24 +174,24 @@
     })
 }
 
-/// Runs until all nodes know each other; `false` if that takes too long.
-fn converge(world: &mut Cluster) -> bool {
-    while !world.is_converged() {
-        if world.now > CONVERGENCE_TIMEOUT {
+/// Runs until all nodes know each other; returns `false` after [`CONVERGENCE_TIMEOUT`].
+fn converge(cluster: &mut Cluster) -> bool {
+    while !cluster.is_converged() {
+        if cluster.now > CONVERGENCE_TIMEOUT {
             return false;
         }
-        world.run(CONVERGENCE_POLL_INTERVAL);
+        cluster.run(CONVERGENCE_POLL_INTERVAL);
     }
     true
 }
 
-/// The traffic of one node in a window. No datagram is lost between these nodes: as much is received as is sent.
-fn measure_traffic(world: &mut Cluster, nodes: usize) -> Traffic {
-    let (messages_before, bytes_before) = (world.datagrams_sent, world.bytes_sent);
-    world.run(WINDOW_SECONDS);
+/// Measures the mean traffic of a node in a window. The cluster loses no datagrams, so as much is received as is sent.
+fn measure_traffic(cluster: &mut Cluster, nodes: usize) -> Traffic {
+    let (messages_before, bytes_before) = (cluster.datagrams_sent, cluster.bytes_sent);
+    cluster.run(WINDOW_SECONDS);
     let rate = |count: u64| count as f64 / WINDOW_SECONDS / nodes as f64;
-    let messages = rate(world.datagrams_sent - messages_before);
-    let bytes = rate(world.bytes_sent - bytes_before);
+    let messages = rate(cluster.datagrams_sent - messages_before);
+    let bytes = rate(cluster.bytes_sent - bytes_before);
     Traffic {
         kind: "all".to_owned(),
         bytes_in: bytes,
@@ -201,20 +201,20 @@
     }
 }
 
-/// Bans a server at the first node; the time until the ban is in force, for each node that applied it.
-fn spread_ban(world: &mut Cluster) -> Vec<f64> {
-    let start = world.now;
-    world.with_node(0, |fleet, now| {
+/// Bans a server at the first node. Returns the time until the ban is in force, for each node that applied it.
+fn spread_ban(cluster: &mut Cluster) -> Vec<f64> {
+    let start = cluster.now;
+    cluster.with_node(0, |fleet, now| {
         fleet.ban(now, BANNED_SERVER, RUN_NAME, Some(BAN_DURATION))
     });
     let mut propagation = Vec::new();
-    let mut pending: BTreeSet<usize> = (0..world.processes.len()).collect();
-    while !pending.is_empty() && world.now - start < MAX_BAN_PROPAGATION {
+    let mut pending: BTreeSet<usize> = (0..cluster.processes.len()).collect();
+    while !pending.is_empty() && cluster.now - start < MAX_BAN_PROPAGATION {
         let pending_before = pending.len();
-        pending.retain(|node| !world.banned_servers(*node).contains(BANNED_SERVER));
+        pending.retain(|node| !cluster.banned_servers(*node).contains(BANNED_SERVER));
         let applied = pending_before - pending.len();
-        propagation.extend(std::iter::repeat_n(world.now - start, applied));
-        world.run(BAN_POLL_INTERVAL);
+        propagation.extend(std::iter::repeat_n(cluster.now - start, applied));
+        cluster.run(BAN_POLL_INTERVAL);
     }
     propagation
 }
@@ -235,11 +235,11 @@
     let mut violations = Vec::new();
     match fit::slope(Axis::Nodes, "line", &points(|x| 2.0 + 3.0 * x)) {
         Some(slope) if !slope.bent && (slope.slope - 3.0).abs() < 3.0 * slope.standard_error => {}
-        other => violations.push(format!("a line of slope 3 is taken for {other:?}")),
+        other => violations.push(format!("unexpected fit of a line with slope 3: {other:?}")),
     }
     match fit::slope(Axis::Nodes, "square", &points(|x| x * x)) {
         Some(slope) if slope.bent => {}
-        other => violations.push(format!("a parabola is taken for {other:?}")),
+        other => violations.push(format!("unexpected fit of a parabola: {other:?}")),
     }
     violations
 }
--- a/crates/capacity/src/scale/sweep.rs
+++ b/crates/capacity/src/scale/sweep.rs
@@ -1,5 +1,4 @@
-//! Sweeps: runs along one axis at a time, then along two together, and fits through them. Called by
-//! [`command`](super::command).
+//! Sweeps: runs along one axis at a time, then along two together, and fits through them.
 
 use super::computation::Computation;
 use super::figure::{
@@ -25,18 +24,18 @@
     changes: 13_000,
     restarts: 18_000,
 };
-/// Sizes of fleets.
+/// Numbers of nodes of the fleets.
 pub const NODES: [usize; 6] = [50, 100, 150, 200, 250, 300];
-/// Fleets at which restarts are swept too, for the product of both.
+/// Fleets at which restarts are swept too, to fit the product of nodes and restarts.
 const INTERACTION_NODES: [usize; 3] = [50, 150, 300];
-/// Restarts a day; the target has 18,000, so that the last is nine times as fast.
+/// Restarts per day. The target has 18,000; the largest value is nine times that.
 pub const RESTARTS: [usize; 5] = [18_000, 54_000, 90_000, 126_000, 162_000];
-/// Restarts a day of the runs at [`INTERACTION_NODES`].
+/// Restarts per day of the runs at [`INTERACTION_NODES`].
 const INTERACTION_RESTARTS: [usize; 2] = [90_000, 162_000];
-/// Changes a day; the target has 13,000.
+/// Changes per day; the target has 13,000.
 pub const CHANGES: [usize; 5] = [13_000, 39_000, 65_000, 91_000, 117_000];
-/// The same while services, routes or tenants are swept. Each service has at least one route: there are as many routes
-/// as the most services.
+/// The size on the other axes while services, routes or tenants are swept. Each service needs at least one route, so
+/// there are as many routes as the largest number of services.
 pub const SETTINGS_BASE: Size = Size {
     services: 100,
     routes: 2_600,
@@ -56,7 +55,7 @@
     pub sizes: [usize; 6],
 }
 
-/// Servers of a list.
+/// Numbers of servers in a list.
 const LIST_SIZES: [usize; 6] = [1_000, 2_000, 3_000, 4_000, 5_000, 6_000];
 /// The sweeps of computations.
 pub const COMPUTATIONS: [ComputationSweep; 5] = [
@@ -91,32 +90,32 @@
         sizes: [1_000, 70_000, 140_000, 280_000, 420_000, 560_000],
     },
 ];
-/// Services of the settings that are read at each number of [`INTERACTION_ROUTES`], for the product of both.
+/// Numbers of services that are combined with each number of [`INTERACTION_ROUTES`], to fit the product of both.
 pub const INTERACTION_SERVICES: [usize; 3] = [100, 1_300, 2_600];
-/// Routes of the same settings.
+/// Numbers of routes that are combined with each number of [`INTERACTION_SERVICES`].
 pub const INTERACTION_ROUTES: [usize; 3] = [2_600, 37_000, 74_000];
 
 /// The parameters of a sweep.
 pub struct Plan {
-    /// This program, for processes of its own.
+    /// Path of this program, which measures fleets and computations in separate processes.
     pub own_program: PathBuf,
-    /// Length of each window.
+    /// Length of each window, in seconds.
     pub window_seconds: f64,
-    /// For all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// When the sweep has to end.
+    /// Time at which the sweep has to end.
     pub deadline: Deadline,
 }
 
-/// Why not every window has a memory figure.
+/// Note on the windows that have no memory figure.
 const MEMORY_NOTE: &str =
-    "memory of a node is told of the first window of each fleet alone, as its process has done \
-    nothing else by then; the windows of further rates follow it in the same process";
+    "memory of a node is reported for the first window of each fleet only; the windows at further \
+    rates run in the same process, whose memory includes the earlier windows";
 
-/// Runs all sweeps. The record has notes on what did not fit into the time.
+/// Runs all sweeps. The record has notes on parts that were omitted because of failures or the deadline.
 ///
 /// # Errors
-/// If the sizes do not fit the machine, or something does not start.
+/// If the sizes exceed the limits of the machine, or the process of a fleet fails.
 pub async fn run(plan: &Plan) -> Result<Record> {
     let largest = Size {
         nodes: NODES[NODES.len() - 1],
@@ -171,7 +170,7 @@
     runs
 }
 
-/// Settings by services and routes, and by their product.
+/// Measures reading settings by services and routes, and fits the figures by both and their product.
 async fn run_settings_interaction(plan: &Plan, record: &mut Record) {
     let sizes_of = |services| {
         INTERACTION_ROUTES.map(|routes| Size {
@@ -197,7 +196,7 @@
     );
 }
 
-/// One fleet, in a process of its own: a window at the base's rates, and others where it is swept by rates too.
+/// Runs one fleet in a separate process: a window at the base rates, and windows at other rates if this size sweeps them.
 async fn run_fleet(plan: &Plan, size: &Size, record: &mut Record) -> Result<Vec<Run>> {
     let fleet = fleet::Plan {
         size: *size,
@@ -216,7 +215,7 @@
     Ok(runs)
 }
 
-/// The rates of a fleet's windows; those of [`BASE`] are the first.
+/// Returns the rates of a fleet's windows, those of `size` first, without duplicates.
 pub fn window_rates(size: &Size) -> Vec<Rates> {
     let mut sizes = vec![*size];
     if INTERACTION_NODES.contains(&size.nodes) {
@@ -235,7 +234,7 @@
     windows
 }
 
-/// Lines along nodes, restarts and changes, and nodes with restarts together.
+/// Adds lines along nodes, restarts and changes, and a fit by nodes and restarts together.
 fn add_network_fits(runs: &[Run], record: &mut Record) {
     let select = |is_selected: &dyn Fn(&Size) -> bool| -> Vec<Run> {
         runs.iter()
--- a/crates/capacity/src/scale/sweep_fit.rs
+++ b/crates/capacity/src/scale/sweep_fit.rs
@@ -1,4 +1,4 @@
-//! Fits through the runs of a [`sweep`](super::sweep): lines along one axis, and two axes with their product.
+//! Fits through the runs of a [`sweep`](super::sweep): lines along one axis, and fits by two axes and their product.
 
 use super::figure::Figure;
 use super::fit::{self, Point};
@@ -21,7 +21,7 @@
     }
 }
 
-/// The figure of each run that has it.
+/// Returns a point for each run that has the figure.
 pub fn points<'a>(
     axis: Axis,
     runs: impl IntoIterator<Item = &'a Run>,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A figure by two axes and their product; `None` if the runs do not determine it and its errors.
+/// Fits a figure by two axes and their product; `None` if the runs do not determine the coefficients and their errors.
 pub fn interaction(
     axes: AxisPair,
     name: &str,
--- a/crates/capacity/src/scale/window.rs
+++ b/crates/capacity/src/scale/window.rs
@@ -1,5 +1,4 @@
-//! A window of measurement over a network: changes are applied at their rates, and their cost is measured. Called by
-//! [`single`](super::single), [`faults`](super::faults) and [`fleet`](super::fleet).
+//! A measurement window over a network: applies changes at their rates and measures their cost.
 
 use super::counters::per_node;
 use super::network::Network;
@@ -9,51 +8,51 @@
 use reelfall_testbed::{Result, SeededRng};
 use std::time::Duration;
 
-/// Length of the bans that stand for changes, in seconds.
+/// Length of the bans that represent changes, in seconds.
 pub const BAN_DURATION: f64 = 10.0;
-/// How long propagation of the last change is awaited.
+/// Time that is allowed for the last change to propagate after the window.
 pub const DRAIN_DURATION: Duration = Duration::from_secs(3);
-/// Share of the threads' time beyond which nodes wait for each other.
+/// Thread utilization above which nodes delay each other noticeably.
 const MAX_UTILIZATION: f64 = 0.8;
 /// Interval at which convergence is checked.
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a window is measured with.
+/// The parameters of a window.
 #[derive(Clone, Copy, Debug)]
 pub struct Window<'a> {
-    /// The name of its run.
+    /// Name of the run that the window produces.
     pub name: &'a str,
     /// The size of the system.
     pub size: &'a Size,
-    /// How often something changes.
+    /// Rates of changes and restarts.
     pub rates: Rates,
-    /// Its length, in seconds.
+    /// Length of the window, in seconds.
     pub seconds: f64,
-    /// Determines where and when something changes.
+    /// Seed of the choice of nodes and servers that change.
     pub seed: u64,
 }
 
-/// How many changes were applied in a window.
+/// Numbers of changes that were applied in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AppliedChanges {
-    /// Bans.
+    /// Number of bans.
     pub bans: usize,
-    /// Restarts of servers.
+    /// Number of server restarts.
     pub restarts: usize,
 }
 
 /// The result of a window.
 #[derive(Clone, Debug)]
 pub struct WindowResult {
-    /// Its figures.
+    /// Figures of the window.
     pub run: Run,
-    /// Propagation times of list updates.
+    /// Propagation times of list updates; `None` if there were none.
     pub list_propagation: Option<Times>,
     /// The changes that were applied.
     pub applied: AppliedChanges,
-    /// The share of their time that the threads of the network worked.
+    /// Fraction of the time in which the threads of the network were busy.
     pub utilization: f64,
-    /// Pairs of a ban and a running node that has not applied it.
+    /// Number of pairs of a ban and a running node that has not applied it.
     pub missing_bans: usize,
 }
 
@@ -64,14 +63,14 @@
         if self.missing_bans > 0 {
             let (bans, missing) = (self.applied.bans, self.missing_bans);
             record.note(format!(
-                "{name}: of {bans} bans, {missing} have not come into force at one of the nodes"
+                "{name}: {bans} bans, with {missing} pairs of a ban and a running node that has not applied it"
             ));
         }
         if self.utilization > MAX_UTILIZATION {
             let percent = self.utilization * 100.0;
             record.note(format!(
                 "{name}: the threads that drive the nodes were {percent:.0} % busy, so that times are longer than \
-                 alone"
+                 on idle threads"
             ));
         }
         record.utilizations.push(Utilization {
@@ -143,7 +142,7 @@
     })
 }
 
-/// Applies the changes of a window at their times, and returns at its end.
+/// Applies the changes of a window at their times. Returns at the end of the window.
 async fn apply_changes(
     network: &Network,
     window: &Window<'_>,
@@ -172,7 +171,7 @@
     applied
 }
 
-/// Whether there was a node that runs.
+/// Bans a server at a random running node. Returns whether there was one.
 fn ban_at_random_node(network: &Network, rng: &mut SeededRng) -> bool {
     let running = network.running_nodes();
     let chosen = rng.next_u64() as usize % running.len().max(1);
@@ -183,7 +182,7 @@
     true
 }
 
-/// The distribution of some times; `None` if there are none.
+/// Returns the distribution of some times; `None` if there are none.
 pub fn distribution(times: &[f64]) -> Option<Times> {
     let mut sorted = times.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -195,7 +194,7 @@
     })
 }
 
-/// The smallest of sorted values that is not exceeded by this fraction of them.
+/// Returns the smallest of the sorted values such that at least this fraction of them is not greater.
 fn quantile(sorted: &[f64], fraction: f64) -> f64 {
     let rank = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -23,12 +23,12 @@
     let error = computation::read_settings("")
         .expect_err("an error")
         .to_string();
-    assert!(error.contains("no generator"), "{error}");
+    assert!(error.contains("settings input is empty"), "{error}");
     let error = computation::read_settings("[process]\nnodes = 0\n")
         .expect_err("an error")
         .to_string();
     assert!(
-        error.contains("refused") && error.contains("mistakes"),
+        error.contains("was rejected") && error.contains("errors: "),
         "{error}"
     );
 }
@@ -54,7 +54,7 @@
     assert!(late
         .expect_err("no time")
         .to_string()
-        .contains("not done in"));
+        .contains("did not finish within"));
     let missing_program = Path::new("/nowhere/at/all");
     assert!(
         computation_process::measure(missing_program, Computation::ServerList, &SIZE, TIMEOUT)
