--- a/crates/capacity/examples/capacity.rs
+++ b/crates/capacity/examples/capacity.rs
@@ -9,10 +9,10 @@
 /// The root of the repository, in which the example runs.
 const ROOT: &str = ".";
 
-/// Why pages are not written, or not as they should be.
+/// Reason why pages can't be written, or fail the check.
 #[derive(Debug, Error)]
 enum Failure {
-    #[error("say --check or --write")]
+    #[error("usage: capacity --check | --write")]
     Usage,
     #[error("{file}: {source}")]
     File {
@@ -26,7 +26,7 @@
     },
     #[error(transparent)]
     Inputs(budget::Error),
-    #[error("these tables differ from their inputs; write them anew: {}", .0.join(", "))]
+    #[error("these tables differ from their inputs; regenerate them with --write: {}", .0.join(", "))]
     Stale(Vec<String>),
 }
 
--- a/crates/capacity/examples/settings_file.rs
+++ b/crates/capacity/examples/settings_file.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why no settings file is printed.
+/// Reason why no settings file can be printed.
 #[derive(Debug, Error)]
 enum Failure {
     #[error("usage: settings_file SERVICES SERVERS ROUTES TENANTS")]
@@ -31,7 +31,7 @@
     Ok(())
 }
 
-/// The size of exactly four numbers.
+/// Parses a size from exactly four numbers.
 fn parse_size(arguments: impl Iterator<Item = String>) -> Option<Size> {
     let numbers: Result<Vec<usize>, _> = arguments.map(|argument| argument.parse()).collect();
     let &[services, servers, routes, tenants] = numbers.ok()?.as_slice() else {
--- a/crates/capacity/examples/state_size/cluster.rs
+++ b/crates/capacity/examples/state_size/cluster.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a node among many peers: the command `peers`.
+//! Memory and processor time of a node among many peers, for the command `peers`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{alive, datagram, header, node, secret};
@@ -8,26 +8,26 @@
 
 /// The seed of the node's random numbers.
 const SEED: u64 = 7;
-/// When peers join, in seconds.
+/// Time at which peers join, in seconds.
 const JOINED_AT: f64 = 0.1;
-/// When updates on them arrive, in seconds.
+/// Time at which updates on peers arrive, in seconds.
 const UPDATED_AT: f64 = 0.2;
-/// When a ban is to be spread, in seconds.
+/// Time at which a server is banned, in seconds.
 const BANNED_AT: f64 = 0.3;
 /// The interval of gossip rounds, in seconds.
 const ROUND_INTERVAL: f64 = 0.1;
-/// Updates that are timed.
+/// Number of updates that are timed.
 const UPDATES: usize = 500;
 /// Distance between the members of successive updates.
 const UPDATE_STRIDE: usize = 7;
-/// Sequence number of the first update's datagram, later than all before.
+/// Sequence number of the first update's datagram, above those of all earlier datagrams.
 const UPDATE_SEQUENCE: u64 = 2_000_000;
-/// Gossip rounds that are timed.
+/// Number of gossip rounds that are timed.
 const ROUNDS: usize = 5;
 /// Servers in the node's lists while rounds are timed.
 const LISTED_SERVERS: usize = 1000;
 
-/// A node of a cluster of so many, with a datagram received from each other one.
+/// Measures a node in a cluster of `size` nodes, after it has received a datagram from every other node.
 pub fn peers(size: usize) -> Result<Figures> {
     let secret = secret()?;
     let own = node(0);
@@ -67,7 +67,7 @@
     while fleet.next_datagram().is_some() || fleet.next_event().is_some() {}
 }
 
-/// Seconds of receiving an update on one member, which is searched among all.
+/// Measures the seconds to receive an update on one member, which searches all members.
 fn update_seconds(fleet: &mut Fleet, secret: &Secret, tag: u64, size: usize) -> Result<f64> {
     let mut datagrams: Vec<Vec<u8>> = Vec::new();
     for number in 0..UPDATES {
@@ -86,7 +86,7 @@
     Ok(seconds)
 }
 
-/// Seconds of a gossip round with an update to send.
+/// Measures the seconds of a gossip round with an update to send.
 fn round_seconds(fleet: &mut Fleet) -> f64 {
     fleet.ban(BANNED_AT, "server-1", "measured", None);
     mean_seconds(ROUNDS, |round| {
--- a/crates/capacity/examples/state_size/error.rs
+++ b/crates/capacity/examples/state_size/error.rs
@@ -1,4 +1,4 @@
-//! Why nothing is measured. All modules return it, and `main` prints it.
+//! Errors of measurements. All modules return them, and `main` prints them.
 
 use reelfall_cluster::wire::KeyTooShort;
 use reelfall_config::ConfigErrors;
@@ -6,85 +6,85 @@
 use std::fmt;
 use thiserror::Error as ThisError;
 
-/// What measurements return.
+/// The result of a measurement.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why nothing is measured.
+/// Reason why a measurement failed.
 #[derive(ThisError)]
 pub enum Error {
     /// The arguments are not those of a command.
-    #[error("say what to measure, and at which sizes")]
+    #[error("usage: state_size COMMAND [PROGRAM] [SIZE...]")]
     Usage,
-    /// There is no such resource.
-    #[error("`{0}` is not measured here")]
+    /// The resource is unknown.
+    #[error("unknown resource `{0}`")]
     UnknownResource(String),
     /// The process that measures one size failed, with this output.
     #[error("{0}")]
     Child(String),
     /// The system does not state the memory of a process.
-    #[error("no resident set is told")]
+    #[error("the system reports no resident set")]
     MissingResidentSet,
-    /// The settings that are measured lack a part.
-    #[error("no {0}")]
+    /// The settings to be measured lack a part.
+    #[error("the settings have no {0}")]
     MissingFixture(&'static str),
     /// A header is longer than a datagram.
-    #[error("a header that does not fit")]
+    #[error("the header does not fit into a datagram")]
     HeaderTooLong,
     /// Entries are longer than a datagram.
-    #[error("verdicts that do not fit")]
+    #[error("the entries do not fit into a datagram")]
     EntriesTooLong,
     /// A message is longer than a datagram.
-    #[error("a message that does not fit")]
+    #[error("the message does not fit into a datagram")]
     MessageTooLong,
     /// A page of promises is longer than a message.
-    #[error("a page that does not fit")]
+    #[error("the page of promises does not fit into a message")]
     PageTooLong,
     /// The node does not know all of its peers.
-    #[error("{known} others are known of {size}")]
+    #[error("only {known} peers are known in a cluster of {size} nodes")]
     UnknownPeers {
-        /// Peers that it knows.
+        /// Number of peers that the node knows.
         known: usize,
-        /// Nodes of the cluster.
+        /// Number of nodes of the cluster.
         size: usize,
     },
     /// The keeper did not grant all leases.
-    #[error("{granted} names are held of {size}")]
+    #[error("only {granted} of {size} leases were granted")]
     LeasesNotGranted {
-        /// Leases that are granted.
+        /// Number of leases that were granted.
         granted: usize,
-        /// Leases that were requested.
+        /// Number of leases that were requested.
         size: usize,
     },
-    /// The node's program has no output.
-    #[error("nothing is said by the node")]
+    /// The standard output of the node's process is not available.
+    #[error("the standard output of the node is not available")]
     NoOutput,
-    /// There is no temporary folder.
+    /// The temporary folder can't be created.
     #[error("{0}")]
     Folder(reelfall_testbed::Error),
-    /// A file or process of the system.
+    /// A file or process could not be used.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A size that is not a number.
+    /// A size is not a number.
     #[error(transparent)]
     Size(#[from] std::num::ParseIntError),
-    /// A figure that is not a number.
+    /// A figure is not a number.
     #[error(transparent)]
     Figure(#[from] std::num::ParseFloatError),
-    /// Output that is not text.
+    /// The output of a process is not valid UTF-8.
     #[error(transparent)]
     Output(#[from] std::string::FromUtf8Error),
-    /// Settings that are not valid.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] ConfigErrors),
-    /// A key that is too short.
+    /// The key of the cluster is too short.
     #[error(transparent)]
     Key(#[from] KeyTooShort),
-    /// A lease name that is not valid.
+    /// A lease name is invalid.
     #[error(transparent)]
     LeaseName(#[from] InvalidLeaseName),
 }
 
-/// `main` prints errors this way: those of other packages as they are, and messages in quotes.
+/// `main` prints errors in their debug form: errors of other packages in their own, the others as quoted messages.
 impl fmt::Debug for Error {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
--- a/crates/capacity/examples/state_size/fixtures.rs
+++ b/crates/capacity/examples/state_size/fixtures.rs
@@ -1,4 +1,4 @@
-//! Nodes, keys and datagrams of a cluster. The measurements of the cluster, leases and messages use them.
+//! Nodes, keys and datagrams of a cluster, for the measurements of the cluster, leases and messages.
 
 use crate::error::{Error, Result};
 use reelfall_cluster::entry::Entry;
@@ -11,31 +11,31 @@
 pub const KEY: &str = "a key for measuring sizes alone";
 /// The name of the cluster.
 const CLUSTER_NAME: &str = "measured";
-/// Port of all nodes.
+/// The gossip port of all nodes.
 const PORT: u16 = 7946;
-/// The clock in datagrams: a day of uptime, in microseconds.
+/// The clock in datagrams, in microseconds: one day of uptime.
 const CLOCK_US: u64 = 86_400_000_000;
 /// The age of the echo in datagrams, in microseconds.
 const ECHO_AGE_US: u64 = 500_000;
 /// The sequence number of the first datagram.
 const SEQUENCE: u64 = 1_000_000;
 
-/// The secret of the cluster.
+/// Derives the secret of the cluster.
 pub fn secret() -> Result<Secret> {
     Ok(Secret::new(KEY.as_bytes(), CLUSTER_NAME)?)
 }
 
-/// A tag of a process that differs for each number, and is not zero.
+/// Returns a non-zero process tag that differs for each node number.
 pub fn tag(number: usize) -> u64 {
     (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1
 }
 
-/// The name of a node.
+/// Returns the name of a node.
 pub fn node_name(number: usize) -> String {
     format!("node-{number:04}")
 }
 
-/// A node.
+/// Creates a node with a name, address and tag of its own.
 pub fn node(number: usize) -> Node {
     let [low, middle, high, ..] = (number as u32).to_le_bytes();
     Node {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The header of a datagram.
+/// Creates the header of a datagram.
 pub fn header(from: Node, to_tag: u64, members: Vec<MemberUpdate>) -> Header {
     Header {
         from,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The update that a node is alive.
+/// Creates the member update that a node is alive.
 pub fn alive(number: usize) -> MemberUpdate {
     MemberUpdate {
         node: node(number),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A sealed datagram.
+/// Creates a sealed datagram.
 pub fn datagram(secret: &Secret, header: &Header, entries: &[Entry]) -> Result<Vec<u8>> {
     let mut writer = DatagramWriter::new(header).ok_or(Error::HeaderTooLong)?;
     if !entries.iter().all(|entry| writer.add(entry)) {
--- a/crates/capacity/examples/state_size/idle_node.rs
+++ b/crates/capacity/examples/state_size/idle_node.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of a process of the program that gets no requests: the commands `rest` and `together`.
+//! Processor time and memory of a node process without requests, for the commands `rest` and `together`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::KEY;
@@ -9,9 +9,9 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a node runs before it is measured.
+/// Time that a node runs before it is measured.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// How long it is measured.
+/// Time over which a node is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 /// Servers of each service.
@@ -22,13 +22,13 @@
 /// Whether the node is part of a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It is not.
+    /// The node is in no cluster.
     Standalone,
-    /// It is the only member of a cluster.
+    /// The node is the only member of a cluster.
     Clustered,
 }
 
-/// What a node with so many services uses.
+/// Measures the processor time and memory of a node with `service_count` services.
 pub fn figures(program: &str, service_count: usize, mode: Mode) -> Result<Figures> {
     let folder = Folder::new().map_err(Error::Folder)?;
     let settings_file = folder.path().join("reelfall.toml");
@@ -65,7 +65,7 @@
     ]))
 }
 
-/// Waits for the first line, which a node prints when it serves.
+/// Waits for the first line of output, which a node prints once it serves.
 fn wait_for_output(node: &mut Child) -> Result<()> {
     let stdout = node.stdout.as_mut().ok_or(Error::NoOutput)?;
     let mut line = String::new();
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// Processor seconds that the main thread of a process has run for.
+/// Returns the processor seconds that the main thread of a process has used.
 fn main_thread_seconds(process: &str) -> Result<f64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat"))?;
     let nanoseconds: f64 = text.split(' ').next().unwrap_or_default().parse()?;
@@ -86,7 +86,7 @@
     )
 }
 
-/// A listener, and so many services.
+/// Renders the settings of a listener and `service_count` services.
 fn service_settings(service_count: usize) -> String {
     let mut text = "[[listener]]\nname = \"public\"\naddress = \"127.0.0.1:0\"\n".to_owned();
     for service in 0..service_count {
--- a/crates/capacity/examples/state_size/leases.rs
+++ b/crates/capacity/examples/state_size/leases.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a keeper with many leases: the command `names`.
+//! Memory and processor time of a keeper with many leases, for the command `names`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{node_name, tag};
@@ -8,9 +8,9 @@
 use reelfall_lease::token::LeaseName;
 use std::hint::black_box;
 
-/// Zones, with a lease of each service in each.
+/// Number of zones, each with a lease for every service.
 const ZONES: usize = 13;
-/// Clients that hold the leases.
+/// Number of clients that hold the leases.
 const CLIENTS: usize = 6000;
 /// The time of all requests, in microseconds.
 const NOW_US: u64 = 1_000_000;
@@ -20,10 +20,10 @@
 const ROUND: u64 = 1;
 /// The seed of the keeper's random numbers.
 const SEED: u64 = 7;
-/// Scans that are timed.
+/// Number of scans that are timed.
 const SCANS: usize = 20;
 
-/// A client of the keepers.
+/// Returns the identity of a client of the keepers.
 pub fn client(number: usize) -> ClientId {
     ClientId {
         name: node_name(number),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The name of a lease.
+/// Returns the name of a lease.
 pub fn lease_name(number: usize) -> Result<LeaseName> {
     let name = format!(
         "asker/service-{:04}/zone-{:02}",
@@ -41,7 +41,7 @@
     Ok(LeaseName::try_from(name)?)
 }
 
-/// A keeper by itself that has granted so many leases.
+/// Measures a single keeper that has granted `size` leases.
 pub fn names(size: usize) -> Result<Figures> {
     let config = keeper::Config {
         max_leases: size,
@@ -90,7 +90,7 @@
     Ok(())
 }
 
-/// Seconds of the scans for the next deadline around one message: one before it and one after it.
+/// Measures the seconds of the two scans for the next deadline per message: one before it and one after it.
 fn scan_seconds(keeper: &Keeper) -> f64 {
     mean_seconds(SCANS, |_| {
         black_box(keeper.deadline());
--- a/crates/capacity/examples/state_size/lists.rs
+++ b/crates/capacity/examples/state_size/lists.rs
@@ -1,5 +1,5 @@
-//! Processor time of endpoint lists: counting their servers, expiring states, and applying verdicts to pools. The command
-//! `count`.
+//! Processor time of counting the servers of endpoint lists, expiring their states, and applying verdicts to pools, for the
+//! command `count`.
 
 use crate::fixtures::node;
 use crate::measure::{mean_seconds, Figures};
@@ -13,10 +13,10 @@
 
 /// Servers of each list.
 const SERVERS_PER_LIST: usize = 19;
-/// When the first server started, in seconds since the epoch.
+/// Start time of the first server, in seconds since the epoch.
 const FIRST_START: f64 = 1_790_000_000.0;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
-/// Executions that are timed.
+/// Numbers of executions that are timed.
 const COUNTS: usize = 5;
 const EXPIRY_SCANS: usize = 20;
 const VERDICTS: usize = 200;
@@ -32,7 +32,7 @@
 /// A pool's servers by their names.
 type PoolServers = RefCell<HashMap<String, u32>>;
 
-/// The times of lists with so many servers in all.
+/// Measures lists with `size` servers in total.
 pub fn figures(size: usize) -> Figures {
     let list_count = size.div_ceil(SERVERS_PER_LIST);
     Figures::from([
@@ -46,7 +46,7 @@
     format!("service-{list}-server-{server}")
 }
 
-/// A node's loop that counts the servers of its lists.
+/// Measures the loop of a node that counts the servers of its lists.
 fn count_seconds(list_count: usize) -> f64 {
     let lists: Vec<HashMap<u32, ListedServer>> = (0..list_count).map(list).collect();
     mean_seconds(COUNTS, |_| {
@@ -78,7 +78,7 @@
     })
 }
 
-/// The loop that applies the verdict on one server to all pools: seconds for one pool.
+/// Measures the loop that applies the verdict on one server to all pools. Returns the seconds per pool.
 fn verdict_seconds(pool_count: usize) -> f64 {
     let pools: Vec<Rc<PoolServers>> = (0..pool_count).map(pool_servers).collect();
     let registered: HashMap<usize, Weak<PoolServers>> =
@@ -100,7 +100,7 @@
     Rc::new(RefCell::new(servers.collect()))
 }
 
-/// The scan of the listed states of so many servers for expired ones.
+/// Measures the scan of the listed states of `size` servers for expired ones.
 fn expiry_seconds(size: usize) -> f64 {
     let mut servers: SharedServers<SocketAddr, u32> = SharedServers::default();
     for server in 0..size {
--- a/crates/capacity/examples/state_size/main.rs
+++ b/crates/capacity/examples/state_size/main.rs
@@ -1,5 +1,5 @@
-//! What one route, tenant, other node, lease name or idle service costs a node: memory by the growth of a process's resident set,
-//! processor time by its own clock, messages by their length. Its figures are inputs of docs/CAPACITY.md.
+//! Measures the cost to a node of one route, tenant, peer, lease name or idle service: memory as the growth of the resident set,
+//! processor time as elapsed or scheduled time, messages as their length. The figures are inputs of docs/CAPACITY.md.
 //!
 //! ```text
 //! cargo run --release -p reelfall-capacity --example state_size -- routes|tenants|peers|names|count SIZE SIZE...
@@ -7,21 +7,21 @@
 //! cargo run --release -p reelfall-capacity --example state_size -- rest|together PROGRAM SERVICES SERVICES...
 //! ```
 //!
-//! Each size has a process of its own, so that none reuses memory that another has freed. The line through the sizes is given with
-//! the standard error of its slope.
+//! Each size is measured in a separate process, so that it doesn't reuse memory freed by another. The line through the sizes is
+//! printed with the standard error of its slope.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`cluster`] | a node among peers |
-//! | [`error`] | why nothing is measured |
+//! | [`error`] | errors of measurements |
 //! | [`fixtures`] | nodes and datagrams of the cluster |
-//! | [`idle_node`] | processes of the program without requests |
+//! | [`idle_node`] | node processes without requests |
 //! | [`leases`] | a keeper of leases |
 //! | [`lists`] | endpoint lists and verdicts on their servers |
 //! | [`measure`] | memory and time of a process |
 //! | [`messages`] | lengths of messages |
 //! | [`plan`] | routes and tenants of a plan |
-//! | [`sweep`] | all sizes, and the line through them |
+//! | [`sweep`] | measurements at all sizes, and the line through them |
 
 mod cluster;
 mod error;
@@ -39,7 +39,7 @@
 use measure::Figures;
 use std::process::Command;
 
-/// The internal command that measures one size in a process of its own.
+/// The internal command that measures one size in a child process.
 const SINGLE_SIZE_COMMAND: &str = "one";
 
 fn main() -> Result<()> {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Measures one size in this process, and prints the figures for the parent.
+/// Measures one size in this process, and prints the figures for the parent process.
 fn print_single_size(resource: &str, size: usize) -> Result<()> {
     let figures = match resource {
         "routes" => plan::routes(size)?,
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Measures one size in a process of its own.
+/// Measures one size in a child process.
 fn in_child(resource: &str, size: usize) -> Result<Figures> {
     let program = std::env::current_exe()?;
     let output = Command::new(program)
--- a/crates/capacity/examples/state_size/messages.rs
+++ b/crates/capacity/examples/state_size/messages.rs
@@ -1,4 +1,4 @@
-//! Lengths of datagrams, entries and messages: the command `words`.
+//! Lengths of datagrams, entries and messages, for the command `words`.
 
 use crate::error::{Error, Result};
 use crate::fixtures::{alive, datagram, header, node, secret};
@@ -9,18 +9,18 @@
     LogPosition, Message, PeerMessage, Promise, Request, Response, StorageId, Vote,
 };
 
-/// The node that sends.
+/// Number of the node that sends.
 const SENDER: usize = 5000;
-/// The node that receives.
+/// Number of the node that receives.
 const RECEIVER: usize = 1;
-/// Member updates, or promises, over which a length is averaged.
+/// Number of member updates, or promises, over which a length is averaged.
 const AVERAGED: usize = 10;
-/// Bytes before a message of the application.
+/// Prefix of the body of an application message.
 const APP_MESSAGE_PREFIX: [u8; 8] = [0; 8];
 const SERVER_NAME: &str = "service-1234-server-12";
 const LIST_NAME: &str = "service-1234";
 const ZONE_NAME: &str = "zone-12";
-/// When the server started, in milliseconds since the epoch.
+/// Start time of the server, in milliseconds since the epoch.
 const SERVER_START_MS: u64 = 1_790_000_000_000;
 const BAN_TTL_MS: u32 = 604_800_000;
 const REPORT_TTL_MS: u32 = 10_000;
@@ -31,7 +31,7 @@
 const LEASE_TOKEN: u64 = 5000;
 const LEASE_LENGTH_US: u64 = 5_000_000;
 const LOG_RECORDS: u64 = 1_000_000;
-/// Keepers of a lease.
+/// Number of keepers of a lease.
 const KEEPERS: usize = 5;
 
 /// Prints all lengths.
@@ -39,7 +39,7 @@
     let secret = secret()?;
     print_datagram_lengths(&secret)?;
     print_lease_lengths(&secret)?;
-    // A comma follows each line.
+    // In a list, a comma follows each line.
     print_length("a line of a list with its comma", list_line().len() + 1);
     Ok(())
 }
@@ -118,7 +118,7 @@
     })
 }
 
-/// Bytes of one lease name with its promise, as keepers send them to each other.
+/// Returns the bytes of one lease name with its promise, as keepers send them to each other.
 fn promise_length() -> Result<usize> {
     Ok((promise_page_length(1 + AVERAGED)? - promise_page_length(1)?) / AVERAGED)
 }
@@ -204,7 +204,7 @@
     entry(key, Value::ListIndex, LIST_INDEX_TTL_MS)
 }
 
-/// A server's line in an endpoint list.
+/// Renders the line of a server in an endpoint list.
 fn list_line() -> String {
     let line = serde_json::json!({
         "name": SERVER_NAME,
--- a/crates/capacity/examples/state_size/plan.rs
+++ b/crates/capacity/examples/state_size/plan.rs
@@ -1,4 +1,4 @@
-//! Memory of routes and tenants in a plan: the commands `routes` and `tenants`.
+//! Memory of routes and tenants in a plan, for the commands `routes` and `tenants`.
 
 use crate::error::{Error, Result};
 use crate::measure::{memory_figure, resident_bytes, Figures, THIS_PROCESS};
@@ -7,7 +7,7 @@
 use reelfall_routing::table::HostPattern;
 use std::hint::black_box;
 
-/// Routes of each host.
+/// Number of routes of each host.
 const ROUTES_PER_HOST: usize = 28;
 /// The name of the settings in error messages.
 const SETTINGS_NAME: &str = "state_size";
@@ -44,7 +44,7 @@
     Ok(reader::parse_toml(SETTINGS_NAME, SETTINGS)?)
 }
 
-/// The memory of a plan with so many routes.
+/// Measures the memory of a plan with `size` routes.
 pub fn routes(size: usize) -> Result<Figures> {
     let mut model = model()?;
     let service = model
@@ -75,7 +75,8 @@
     }
 }
 
-/// The memory of a plan with so many tenants, of the settings of its pool, and of what a pool is compared by.
+/// Measures the memory of `size` tenants in a plan, in the settings of the pool, in the key that identifies the pool and in the
+/// levels of its decision module.
 pub fn tenants(size: usize) -> Result<Figures> {
     let mut model = model()?;
     let service = model
@@ -92,7 +93,7 @@
     let service = plan.model.services.first();
     let service = service.ok_or(Error::MissingFixture("service"))?;
     let config = plan.balancer_config(service);
-    // What a pool is compared by, and the levels in its decision module.
+    // The key that a pool is compared by, and the tenants' levels in its decision module.
     let pool_key = service.tenants.clone();
     let levels = vec![(f64::NAN, 0.0); size];
     let after = resident_bytes(THIS_PROCESS)?;
--- a/crates/capacity/examples/state_size/sweep.rs
+++ b/crates/capacity/examples/state_size/sweep.rs
@@ -1,10 +1,10 @@
-//! Measures at all sizes, and fits a line through each figure. The commands with sizes call it.
+//! Measures a resource at all sizes, and fits a line through each figure.
 
 use crate::error::Result;
 use crate::measure::Figures;
 use std::collections::BTreeMap;
 
-/// Fewest points that a line with a standard error needs.
+/// Smallest number of points for a line with a standard error.
 const LINE_POINTS: usize = 3;
 
 /// A figure at one size.
@@ -20,7 +20,7 @@
 }
 
 impl Line {
-    /// The line of least squares.
+    /// Fits a line by least squares.
     fn through(points: &[Point]) -> Line {
         let count = points.len() as f64;
         let mean =
