--- a/crates/capacity/tests/capacity/inputs.rs
+++ b/crates/capacity/tests/capacity/inputs.rs
@@ -1,4 +1,4 @@
-//! The input file: its format, its values and where they come from.
+//! The input file: its format, its values and their provenance.
 
 use crate::repository_root;
 use reelfall_capacity::budget::inputs::{Input, Inputs, SCHEMA};
@@ -6,7 +6,7 @@
 use reelfall_capacity::budget::provenance::Provenance;
 use reelfall_capacity::budget::{Error, INPUTS};
 
-/// The schema number of no version of the input file.
+/// A schema version that the input file never had.
 const UNKNOWN_SCHEMA: u32 = 9;
 
 /// An assumed input of 2 bytes.
@@ -16,7 +16,7 @@
         value: 2.0,
         unit: "B".to_owned(),
         provenance: Provenance::Assumed,
-        description: "a thing".to_owned(),
+        description: "an input".to_owned(),
         command: None,
         commit: None,
     }
@@ -76,7 +76,7 @@
                 .filter(|other| other.name == input.name)
                 .count()
                 == 1,
-            "{} twice",
+            "input {} is not unique",
             input.name
         );
     }
--- a/crates/capacity/tests/capacity/limits.rs
+++ b/crates/capacity/tests/capacity/limits.rs
@@ -18,14 +18,14 @@
 }
 
 impl Limit {
-    /// The beginning of the limit's row in the audit.
+    /// Returns the beginning of the limit's row in the audit.
     fn row(&self) -> String {
         let Limit { file, name, value } = self;
         format!("| `{file}`, `{name}` | `{value}` |")
     }
 }
 
-/// The limit that a source line defines: a constant whose name ends in `_MOST` or begins with `MAX_`.
+/// Parses the limit that a source line defines: a constant whose name ends in `_MOST` or begins with `MAX_`.
 fn limit_of_line(file: &str, line: &str) -> Option<Limit> {
     let (_, definition) = line
         .trim_start()
@@ -41,7 +41,7 @@
     })
 }
 
-/// The limits that a source file defines.
+/// Returns the limits that a source file defines.
 fn limits_of_source(file: &str, source: &str) -> Vec<Limit> {
     source
         .lines()
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// The beginnings of the rows that the audit lacks.
+/// Returns the beginnings of the rows that the audit lacks.
 fn missing_rows(page: &str, limits: &[Limit]) -> Vec<String> {
     let is_listed = |row: &String| page.lines().any(|line| line.starts_with(row.as_str()));
     limits
@@ -71,7 +71,7 @@
     }
 }
 
-/// The limits in the sources of all packages.
+/// Returns the limits in the sources of all packages.
 fn limits_of_workspace() -> Vec<Limit> {
     let root = repository_root();
     let mut files = Vec::new();
@@ -91,18 +91,18 @@
 
 #[test]
 fn audit_lists_every_limit() {
-    // Far fewer than there are: the scan of the sources itself works.
+    // Well below the actual number, to detect a scan of the sources that finds too little.
     const MIN_LIMITS: usize = 50;
     let limits = limits_of_workspace();
     assert!(
         limits.len() > MIN_LIMITS,
-        "{} limits were found",
+        "only {} limits were found",
         limits.len()
     );
     let missing = missing_rows(&read_capacity_page(), &limits);
     assert!(
         missing.is_empty(),
-        "rows wanted in {CAPACITY_PAGE}:\n{}",
+        "rows missing in {CAPACITY_PAGE}:\n{}",
         missing.join("\n")
     );
 }
--- a/crates/capacity/tests/capacity/main.rs
+++ b/crates/capacity/tests/capacity/main.rs
@@ -1,5 +1,5 @@
-//! The capacity page: its tables match their inputs, it lists every limit of the program, and its formulas give the
-//! results of a calculation by hand.
+//! The capacity page: its tables match their inputs, it lists every limit of the program, and its formulas match results
+//! calculated by hand.
 
 mod formulas;
 mod inputs;
@@ -14,17 +14,17 @@
 use reelfall_capacity::budget::{CAPACITY_PAGE, INPUTS};
 use std::path::{Path, PathBuf};
 
-/// The root of the repository.
+/// Returns the root of the repository.
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The text of the capacity page in the repository.
+/// Reads the capacity page of the repository.
 fn read_capacity_page() -> String {
     std::fs::read_to_string(repository_root().join(CAPACITY_PAGE)).unwrap()
 }
 
-/// The costs of the input file in the repository.
+/// Reads the costs from the input file of the repository.
 fn recorded_costs() -> Costs {
     Costs::from_inputs(&Inputs::read(&repository_root().join(INPUTS)).unwrap()).unwrap()
 }
@@ -34,6 +34,6 @@
     const RELATIVE_TOLERANCE: f64 = 1e-6;
     assert!(
         (actual - expected).abs() <= RELATIVE_TOLERANCE * expected.abs(),
-        "{actual} is not {expected}"
+        "{actual} differs from {expected}"
     );
 }
--- a/crates/capacity/tests/capacity/page.rs
+++ b/crates/capacity/tests/capacity/page.rs
@@ -13,7 +13,7 @@
     let stale = page::stale_tables(&read_capacity_page(), &tables).unwrap();
     assert!(
         stale.is_empty(),
-        "{stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
+        "stale tables {stale:?}; regenerate them with cargo run -p reelfall-capacity --example capacity -- --write"
     );
 }
 
@@ -24,7 +24,7 @@
         let stale = page::stale_tables(&text, &tables).unwrap();
         assert!(
             stale.is_empty(),
-            "{name}, {stale:?}: cargo run -p reelfall-capacity --example capacity -- --write"
+            "{name}: stale tables {stale:?}; regenerate them with cargo run -p reelfall-capacity --example capacity -- --write"
         );
         let markers: Vec<&str> = text
             .lines()
--- a/crates/capacity/tests/capacity/requirements.rs
+++ b/crates/capacity/tests/capacity/requirements.rs
@@ -1,23 +1,23 @@
-//! The verdict on a requirement, from its amount at the target, its budget and its improvement.
+//! The verdict on a requirement, which depends on its amount at the target, its budget and its improvement.
 
 use reelfall_capacity::budget::provenance::Provenance;
 use reelfall_capacity::budget::requirement::{Improvement, Requirement, Verdict};
 use reelfall_capacity::budget::units::Unit;
 
-/// A requirement with these amounts; the improvement is one named `x`, with the amount that it leads to.
+/// Creates a requirement with these amounts, and an improvement that leads to `improved_amount`.
 fn requirement(
     target: Option<f64>,
     budget: Option<f64>,
     improved_amount: Option<f64>,
 ) -> Requirement {
     Requirement {
-        name: "a thing",
+        name: "a requirement",
         derivation: "counted",
         provenance: Provenance::Measured,
         amounts: [Some(1.0), None, target],
         budget,
         unit: Unit::Count,
-        mechanism: "nobody",
+        mechanism: "none",
         improvement: improved_amount.map(improvement),
     }
 }
--- a/crates/capacity/tests/capacity/scale_reports.rs
+++ b/crates/capacity/tests/capacity/scale_reports.rs
@@ -1,4 +1,4 @@
-//! The tables made from reports of scale runs.
+//! The tables generated from reports of scale runs.
 
 use crate::recorded_costs;
 use reelfall_capacity::budget::measurements::{self, MeasuredRun, Measurements};
@@ -11,11 +11,11 @@
 /// The commit of the reports.
 const COMMIT: &str = "0123456789abcdef";
 
-/// The schema number of no version of the reports.
+/// A schema version that reports never had.
 const UNKNOWN_SCHEMA: u32 = 9;
 
-/// A report with one run, the start of a region of the target's size, and one fitted slope. A slope is not projected
-/// where the points deviate from a straight line (`is_bent`).
+/// Creates a report with one run, the start of a region at the target size, and one fitted slope. A slope whose points
+/// deviate from a straight line (`is_bent`) has no projection.
 fn report(is_bent: bool) -> Report {
     let traffic = Traffic {
         kind: "gossip".to_owned(),
@@ -115,7 +115,7 @@
     ));
 }
 
-/// The record of single runs, with a convergence and the use of a processor.
+/// Creates the record of a single run, with a convergence time and a thread utilization.
 fn record_of_single_run() -> Record {
     let mut record = Record::new(1);
     record.report = report(false);
@@ -132,7 +132,7 @@
     record
 }
 
-/// The record of a sweep: points of two sources, a fit of an interaction, and an omission.
+/// Creates the record of a sweep, with runs of two sources, an interaction fit and an omission.
 fn record_of_sweep() -> Record {
     let mut record = Record::new(1);
     record.report = report(false);
--- a/crates/capacity/tests/capacity/units.rs
+++ b/crates/capacity/tests/capacity/units.rs
@@ -1,4 +1,4 @@
-//! How the pages write numbers and amounts.
+//! The formatting of numbers and amounts on the pages.
 
 use reelfall_capacity::budget::units::{amount, plain, Unit};
 
--- a/crates/capacity/tests/mechanism.rs
+++ b/crates/capacity/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! The capacity page's table of the distribution of settings: its verdicts follow from the budgets.
+//! The table of settings distribution on the capacity page, whose verdicts follow from the budgets.
 
 use reelfall_capacity::budget::distribution_runs::{
     excesses, DistributionRuns, Excess, BURST_BYTES, MEMORY_RUN_PREFIX, REPORT_FILES,
@@ -13,7 +13,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Times of which the last is `last` seconds.
+/// Creates a distribution of times whose largest is `last` seconds.
 fn times(last: f64) -> Times {
     Times {
         p50: last / 10.0,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The result of a distribution run that is far within all budgets.
+/// Creates the result of a distribution run that is well within all budgets.
 fn small_result(judged_by: JudgedBy) -> Played {
     Played {
         title: "a distribution".to_owned(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A run with traffic of `bytes` a second, in and out.
+/// Creates a run with a total traffic, in and out, of `bytes` per second.
 fn run(in_force: Option<Times>, bytes: f64) -> Run {
     let traffic = Traffic {
         kind: "configuration".to_owned(),
@@ -103,7 +103,7 @@
         excesses(&slow, &small_result(JudgedBy::InForce)),
         [Excess::InForce(2.0)]
     );
-    // Where changes wait for the end of a partition, the time since that end counts.
+    // If changes wait for the end of a partition, only the time after its end is compared with the budget.
     let late = Played {
         caught_up: Some(times(45.0)),
         ..small_result(JudgedBy::CaughtUp)
@@ -127,13 +127,13 @@
         excesses(&run(None, 100.0), &burst),
         [Excess::BurstTraffic(3.0)]
     );
-    let broken = Played {
+    let violated = Played {
         faults: 2,
         missing: 3,
         ..small_result(JudgedBy::InForce)
     };
     assert_eq!(
-        excesses(&run(None, 100.0), &broken),
+        excesses(&run(None, 100.0), &violated),
         [Excess::ViolatedGuarantees(2), Excess::Missing(3)]
     );
 }
@@ -268,7 +268,7 @@
     assert_eq!(tables["mechanism"], runs.table());
     tables.retain(|name, _| *name == "mechanism");
     assert_eq!(page::stale_tables(&page_text, &tables).unwrap(), [""; 0]);
-    // A change of one figure of one run makes the page stale.
+    // A change of a single figure makes the page stale.
     let mut changed = runs;
     let result = changed
         .reports
--- a/crates/capacity/tests/scale/command.rs
+++ b/crates/capacity/tests/scale/command.rs
@@ -1,4 +1,4 @@
-//! The command line, in processes of the program.
+//! The command line of scale runs, tested in processes of the program.
 
 use crate::PROGRAM;
 use reelfall_capacity::scale::record::Record;
@@ -14,7 +14,7 @@
         .expect("the program runs")
 }
 
-/// The record that a run of the command writes to `file`.
+/// Runs the command and returns the record that it writes to `file`.
 fn run_to_record(args: &[&str], file: &Path) -> Record {
     let output = run_scale(&[args, &["--json", &file.display().to_string()]].concat());
     assert!(
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -55,7 +55,7 @@
         .expect_err("no time")
         .to_string()
         .contains("did not finish within"));
-    let missing_program = Path::new("/nowhere/at/all");
+    let missing_program = Path::new("/nonexistent/program");
     assert!(
         computation_process::measure(missing_program, Computation::ServerList, &SIZE, TIMEOUT)
             .await
@@ -88,7 +88,7 @@
         many.read_bytes
     );
     assert!(many.per_node.cpu > few.per_node.cpu);
-    // The tables of 40,000 tenants and 4,000 routes are megabytes.
+    // The tables of 40,000 tenants and 4,000 routes take several megabytes.
     let (few_memory, many_memory) = (
         few.per_node.memory.expect("memory"),
         many.per_node.memory.expect("memory"),
--- a/crates/capacity/tests/scale/discovery_stub.rs
+++ b/crates/capacity/tests/scale/discovery_stub.rs
@@ -21,7 +21,7 @@
     let mut all: Vec<String> = (0..10).map(server_name).collect();
     all.sort();
     assert_eq!(listed, all);
-    // No more lists than servers.
+    // There are at most as many lists as servers.
     assert_eq!(DiscoveryStub::new(2, 50).list_count(), 2);
 }
 
--- a/crates/capacity/tests/scale/limits.rs
+++ b/crates/capacity/tests/scale/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of a run, and what the system reports.
+//! The limits of a run, and the resources that the system reports.
 
 use crate::SIZE;
 use reelfall_capacity::scale::limits::{
--- a/crates/capacity/tests/scale/main.rs
+++ b/crates/capacity/tests/scale/main.rs
@@ -1,4 +1,4 @@
-//! Scale runs: their records, their limits, and small runs of each part.
+//! Scale runs: their records and limits, and small runs of each part.
 
 mod command;
 mod computation;
@@ -15,7 +15,7 @@
 use reelfall_capacity::scale::report::Size;
 use std::time::Duration;
 
-/// No wait in these tests is longer; a passing one needs a small part of it.
+/// Upper bound of every wait in these tests; passing tests need only a fraction of it.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_reelfall-capacity");
--- a/crates/capacity/tests/scale/network.rs
+++ b/crates/capacity/tests/scale/network.rs
@@ -1,4 +1,4 @@
-//! Simulated and real nodes on sockets.
+//! Fleets of simulated and real nodes on sockets.
 
 use crate::{PROGRAM, SIZE, TIMEOUT};
 use reelfall_capacity::scale::discovery_stub::DiscoveryStub;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Windows of which one has a sampled datagram of the membership protocol.
+/// Largest number of windows that are measured until one has a sampled datagram of the membership protocol.
 const MAX_WINDOWS: u64 = 5;
 
 fn network(nodes: usize) -> Network {
@@ -27,7 +27,7 @@
     wait_until_converged(&network, 0, TIMEOUT)
         .await
         .expect("all nodes know each other");
-    // Two bans and four restarts in a second.
+    // Two bans and four restarts per second.
     let rates = Rates {
         changes: 2 * SECONDS_PER_DAY as usize,
         restarts: 4 * SECONDS_PER_DAY as usize,
@@ -56,7 +56,7 @@
         .iter()
         .map(|traffic| (traffic.kind.as_str(), traffic))
         .collect();
-    // No node reads an update twice.
+    // No node receives an update twice.
     let updates = by_kind["list"].messages_in * run.seconds;
     assert!(updates > 0.0 && updates < 8.0 + 1e-6, "{updates}");
     assert!(by_kind["verdicts"].bytes_out > 0.0);
@@ -65,8 +65,8 @@
     assert!(run.per_node.cpu > 0.0 && run.per_node.peak_bytes > 0.0 && measured.utilization > 0.0);
 }
 
-/// Whether one of several further windows has a sampled datagram of the membership protocol. One datagram of 16 is sampled,
-/// so that a single window may have none by chance.
+/// Measures further windows until one has a sampled datagram of the membership protocol. Returns whether one does. Only one
+/// datagram in 16 is sampled, so a single window may have none by chance.
 async fn samples_membership(network: &Network, window: Window<'_>) -> bool {
     for seed in 2..=MAX_WINDOWS {
         let window = Window { seed, ..window };
@@ -89,7 +89,7 @@
     assert_eq!(network.running_nodes(), [0, 1, 2, 3, 5]);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
-        .expect("the others have removed it");
+        .expect("the other nodes have removed the stopped one");
     network.set_state(4, NodeState::Running);
     wait_until_converged(&network, 0, TIMEOUT)
         .await
@@ -124,9 +124,9 @@
     wait_until_converged(&network, real.count(), TIMEOUT)
         .await
         .expect("all nodes know each other");
-    let before = real.usage().expect("its time");
+    let before = real.usage().expect("processor time");
     real.list_restart(5);
-    let latency = real.load(1.0, 1).await.expect("answers");
+    let latency = real.load(1.0, 1).await.expect("response times");
     let run = real.run("requests", &SIZE, &before, 1.0).expect("figures");
     assert!(run.per_node.cpu > 0.0 && run.per_node.memory.is_some_and(|memory| memory > 0.0));
     let times = request_times(&[latency.clone(), latency.clone()], &[latency])
--- a/crates/capacity/tests/scale/record.rs
+++ b/crates/capacity/tests/scale/record.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a record.
+//! Serialization of records to JSON.
 
 use reelfall_capacity::scale::record::{
     AddedLatency, AxisPair, Convergence, InteractionFit, InteractionPoint, ListPropagation, Record,
@@ -83,7 +83,7 @@
     }
 }
 
-/// A record with a value in every field.
+/// Creates a record with a value in every field.
 fn record() -> Record {
     let mut record = Record::new(u64::MAX);
     record.report.runs.push(run());
--- a/crates/capacity/tests/scale/schedule.rs
+++ b/crates/capacity/tests/scale/schedule.rs
@@ -1,4 +1,4 @@
-//! The changes of a window, and the ages of bans.
+//! The schedule of changes in a window, and the ages of bans.
 
 use reelfall_capacity::scale::discovery_stub::ALWAYS_FAILING_SERVERS;
 use reelfall_capacity::scale::drive::ban_ages;
@@ -10,7 +10,7 @@
 #[test]
 fn events_are_evenly_spaced_and_occur_at_least_once() {
     assert!(event_times(0, 10.0).is_empty());
-    // One in 86,400 s: a window of ten still has it, so that there is something to measure.
+    // At one event per day, a window of ten seconds still contains one, so that there is something to measure.
     assert_eq!(event_times(1, 10.0), [5.0]);
     assert_eq!(
         event_times(SECONDS_PER_DAY as usize, 4.0),
--- a/crates/capacity/tests/scale/simulated_node.rs
+++ b/crates/capacity/tests/scale/simulated_node.rs
@@ -1,4 +1,4 @@
-//! Simulated nodes that exchange datagrams without sockets, on a simulated clock.
+//! Simulated nodes that exchange datagrams in memory, on a simulated clock.
 
 use reelfall_capacity::scale::datagram::{classify, fleet_secret, DatagramKind};
 use reelfall_capacity::scale::sampler::Sample;
@@ -10,7 +10,7 @@
 const BASE_PORT: usize = 10_000;
 /// Step of the clock, in seconds.
 const STEP: f64 = 0.005;
-/// Servers of the list.
+/// Number of listed servers.
 const LISTED: usize = 20;
 
 /// A datagram in flight.
@@ -19,12 +19,12 @@
     datagram: Vec<u8>,
 }
 
-/// Nodes that exchange datagrams without sockets.
+/// A cluster of nodes that exchange datagrams in memory.
 struct Cluster {
     nodes: Vec<SimulatedNode>,
     now: f64,
     in_flight: Vec<InFlight>,
-    /// Every datagram that was sent since the last sample.
+    /// All datagrams sent since the last sample.
     sent: Vec<Vec<u8>>,
     /// Banned servers, by node.
     banned: Vec<Vec<String>>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Datagrams and bytes of each kind since the last sample.
+    /// Classifies the datagrams sent since the last sample.
     fn sample(&mut self) -> Sample {
         let secret = fleet_secret().expect("a key");
         let mut sample = Sample::default();
@@ -149,7 +149,7 @@
     for datagram in [
         &b""[..],
         b"rF",
-        b"something else that is long enough to have a front",
+        b"something else that is long enough to have a header",
     ] {
         assert_eq!(classify(&secret, datagram), None);
     }
--- a/crates/capacity/tests/scale/smoke.rs
+++ b/crates/capacity/tests/scale/smoke.rs
@@ -1,4 +1,4 @@
-//! The smoke run in virtual time.
+//! The smoke run, which uses virtual time.
 
 use reelfall_capacity::scale::report::Source;
 use reelfall_capacity::scale::smoke;
--- a/crates/capacity/tests/scale/sweep.rs
+++ b/crates/capacity/tests/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! Sweeps and their fleets.
+//! Sweeps and the processes of their fleets.
 
 use crate::{PROGRAM, SIZE, TIMEOUT};
 use reelfall_capacity::scale::computation::Computation;
@@ -44,7 +44,7 @@
         .to_json()
         .expect("a text")
         .contains("\"memory\": null"));
-    let missing_program = Path::new("/nowhere/at/all");
+    let missing_program = Path::new("/nonexistent/program");
     assert!(
         fleet::run_in_process(missing_program, &plan, Deadline::after(TIMEOUT))
             .await
@@ -111,7 +111,7 @@
             sweep.sizes.last().copied(),
             Some(Size::TARGET.get(sweep.axis))
         );
-        // A file has at least one route for each service: no axis may change another.
+        // Each service needs at least one route; otherwise sweeping services would change the number of routes too.
         assert!(sweep.sizes.iter().all(|value| {
             let size = sweep.base.with(sweep.axis, *value);
             size.routes >= size.services
--- a/crates/capacity/tests/scale_fit.rs
+++ b/crates/capacity/tests/scale_fit.rs
@@ -1,4 +1,4 @@
-//! The statistics of scale runs, on data with known results.
+//! The statistics of scale runs, tested on data with known results.
 
 use reelfall_capacity::scale::fit::{bend, projection, residuals, slope, t_bound, Point};
 use reelfall_capacity::scale::least_squares::least_squares;
@@ -18,13 +18,13 @@
     9.14, 8.14, 8.74, 8.77, 9.26, 8.10, 6.13, 3.10, 9.13, 7.26, 4.74,
 ];
 
-/// The points of one of Anscombe's data sets.
+/// Returns the points of one of Anscombe's data sets.
 fn anscombe_points(figures: &[f64; 11]) -> Vec<Point> {
     let points = X.iter().zip(figures);
     points.map(|(x, y)| Point { x: *x, y: *y }).collect()
 }
 
-/// The points of a function at the given places.
+/// Returns the points of a function at the given x values.
 fn function_points(places: Range<u32>, function: impl Fn(f64) -> f64) -> Vec<Point> {
     let places = places.map(f64::from);
     places.map(|x| Point { x, y: function(x) }).collect()
@@ -34,7 +34,7 @@
 fn assert_near(value: f64, expected: f64, tolerance: f64) {
     assert!(
         (value - expected).abs() <= tolerance,
-        "{value} is not {expected}"
+        "{value} differs from {expected}"
     );
 }
 
@@ -85,7 +85,7 @@
 
 #[test]
 fn exact_parabola_is_bent() {
-    // There is no residual error with which the quadratic term could be compared.
+    // An exact fit has no residual error to compare the quadratic term with.
     let fitted = fitted_slope(&function_points(0..5, |x| x * x));
     assert!(fitted.bent);
     assert_eq!(projection(&fitted, 100.0), None);
@@ -164,7 +164,7 @@
     );
     assert!(bent.contains("bound 2.31"), "{bent}");
     assert!(bent.contains("residuals"), "{bent}");
-    // A very small slope is printed with its digits too.
+    // A very small slope is printed with all its digits.
     let small = slope_text(&fitted_slope(&function_points(1..6, |x| 2e-8 * x)));
     assert!(small.contains("2.0000e-8"), "{small}");
 }
@@ -187,7 +187,7 @@
     assert!(fit.residuals.iter().all(|residual| residual.abs() < 1e-8));
 }
 
-/// A run whose nodes receive `bytes` and 1 byte a second, in two kinds of traffic.
+/// Creates a run whose nodes receive two kinds of traffic: `bytes` per second and 1 byte per second.
 fn sweep_run(nodes: usize, restarts: usize, bytes: f64) -> Run {
     let traffic = |kind: &str, bytes_in: f64| Traffic {
         kind: kind.to_owned(),
@@ -237,7 +237,7 @@
     assert_near(interaction.coefficients[0], 11.0, 1e-8);
     assert_near(interaction.coefficients[3], 0.25, 1e-10);
     assert_eq!(interaction.points.len(), 9);
-    // As many runs as terms leave no error to state.
+    // With as many runs as terms, the standard errors are undetermined.
     assert!(sweep_fit::interaction(axes, "bytes", bytes_in, &runs[..4]).is_none());
 }
 
--- a/crates/capacity/tests/settings_file.rs
+++ b/crates/capacity/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! Settings files that are generated for measurements are valid and have the requested size.
+//! Settings files generated for measurements are valid and have the requested size.
 
 use reelfall_capacity::scale::report::Size;
 use reelfall_capacity::scale::settings::settings_file;
@@ -14,7 +14,7 @@
         .unwrap()
 }
 
-/// The number of items of a plan.
+/// Numbers of items in a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Counts {
     services: usize,
@@ -24,7 +24,7 @@
 }
 
 impl Counts {
-    /// The target's other figures with these counts.
+    /// Returns the target size with these counts.
     fn to_size(self) -> Size {
         Size {
             services: self.services,
@@ -73,7 +73,11 @@
     let tenant_counts = services.map(|service| service.tenants.len());
     let fewest = tenant_counts.clone().min();
     let most = tenant_counts.max();
-    assert_eq!((fewest, most), (Some(215), Some(216)), "not spread evenly");
+    assert_eq!(
+        (fewest, most),
+        (Some(215), Some(216)),
+        "tenants are not distributed evenly"
+    );
 }
 
 #[test]
