--- a/crates/capacity/examples/state_size/idle_node.rs
+++ b/crates/capacity/examples/state_size/idle_node.rs
@@ -19,7 +19,7 @@
 /// Services whose servers share the second byte of their addresses.
 const SERVICES_PER_SUBNET: usize = 200;
 
-/// Whether the node is part of a cluster.
+/// The role of the measured node in a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// The node is in no cluster.
--- a/crates/capacity/src/budget/error.rs
+++ b/crates/capacity/src/budget/error.rs
@@ -11,7 +11,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the system.
         source: std::io::Error,
     },
     /// A file can't be parsed as the expected JSON.
@@ -19,7 +19,7 @@
     Json {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// A file has an unsupported schema version.
--- a/crates/capacity/src/budget/inputs.rs
+++ b/crates/capacity/src/budget/inputs.rs
@@ -15,16 +15,16 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Input {
-    /// Its name, by which formulas refer to it.
+    /// Name by which formulas refer to the figure.
     pub name: String,
     /// The figure.
     pub value: f64,
-    /// Its unit, in words.
+    /// Unit of the value, in words.
     pub unit: String,
     /// Whether it was measured, derived or assumed.
     #[serde(rename = "kind")]
     pub provenance: Provenance,
-    /// What it is, and at which sizes it was measured.
+    /// Description of the figure and of the sizes at which it was measured.
     #[serde(rename = "about")]
     pub description: String,
     /// The command that prints it, if there is one.
--- a/crates/capacity/src/budget/model/connections.rs
+++ b/crates/capacity/src/budget/model/connections.rs
@@ -12,7 +12,7 @@
     node_request_rate(size) / size.servers as f64
 }
 
-/// Requests a second at one server, from all nodes.
+/// Requests per second at one server, from all nodes.
 pub fn server_request_rate(size: &Size) -> f64 {
     request_rate(size) / size.servers as f64
 }
--- a/crates/capacity/src/budget/model/costs.rs
+++ b/crates/capacity/src/budget/model/costs.rs
@@ -1,4 +1,4 @@
-//! What one unit of each resource costs, read from the inputs. Used by all formulas of the model.
+//! Unit costs of resources, read from the inputs and used by all formulas of the model.
 
 use crate::budget::inputs::Inputs;
 use crate::budget::Error;
@@ -6,7 +6,7 @@
 /// Defines [`Costs`] from rows of a field and the name of its input.
 macro_rules! costs {
     ($($(#[$doc:meta])* $field:ident = $input:literal,)*) => {
-        /// What one unit of each resource costs.
+        /// Unit costs of resources.
         #[derive(Clone, Copy, Debug, PartialEq)]
         pub struct Costs {
             $($(#[$doc])* pub $field: f64,)*
@@ -71,11 +71,11 @@
     heartbeat_interval = "beat_every",
     /// Idle time-out of a connection to a server, in seconds.
     idle_timeout = "idle_kept",
-    /// Datagrams a second sent by a node without updates.
+    /// Datagrams per second sent by a node without updates.
     gossip_datagram_rate = "gossip_datagrams",
-    /// Bytes a second sent by a node without updates, among 300 nodes.
+    /// Bytes per second sent by a node without updates, among 300 nodes.
     gossip_traffic_300 = "gossip_bytes_300",
-    /// Bytes a second sent by a node without updates, among 1,500 nodes.
+    /// Bytes per second sent by a node without updates, among 1,500 nodes.
     gossip_traffic_1500 = "gossip_bytes_1500",
     /// A ban in a datagram, in bytes.
     verdict_bytes = "verdict_bytes",
@@ -117,6 +117,6 @@
     rtt_zone = "rtt_zone",
     /// A round trip between zones of a region, in seconds.
     rtt_region = "rtt_region",
-    /// The link of a control machine, in bytes a second.
+    /// Bandwidth of the link of a control machine, in bytes per second.
     machine_bandwidth = "machine_link",
 }
--- a/crates/capacity/src/budget/model/endpoint_lists.rs
+++ b/crates/capacity/src/budget/model/endpoint_lists.rs
@@ -7,9 +7,9 @@
 /// Cost to a node of polling all entries of a registry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RegistryPolling {
-    /// Bytes a second.
+    /// Bytes per second.
     pub traffic: f64,
-    /// Processor seconds a second.
+    /// Processor seconds per second.
     pub cores: f64,
 }
 
@@ -34,12 +34,12 @@
     (program_limits::ENDPOINT_LIST_BYTES / costs.list_line_bytes).floor()
 }
 
-/// Restarts a second, averaged over a day.
+/// Restarts per second, averaged over a day.
 pub fn restart_rate(size: &Size) -> f64 {
     size.restarts as f64 / DAY_SECONDS
 }
 
-/// Bytes a second of changes of lists, at a rate of restarts a second.
+/// Bytes per second of list changes, given the restarts per second.
 pub fn change_traffic(costs: &Costs, restart_rate: f64) -> f64 {
     restart_rate
         * costs.list_changes_per_restart
--- a/crates/capacity/src/budget/model/mod.rs
+++ b/crates/capacity/src/budget/model/mod.rs
@@ -33,7 +33,7 @@
 
 /// Seconds in a day.
 pub const DAY_SECONDS: f64 = 86_400.0;
-/// Requests a second at the target's peak.
+/// Requests per second at the target's peak.
 pub const PEAK_REQUEST_RATE: f64 = 1_700_000.0;
 /// Number of regions, the same at every size.
 pub const REGIONS: f64 = 4.0;
--- a/crates/capacity/src/budget/model/program_limits.rs
+++ b/crates/capacity/src/budget/model/program_limits.rs
@@ -27,7 +27,7 @@
 pub const SPARE_DESCRIPTORS: f64 = 24.0;
 /// Connections to servers of a process with 1,024 descriptors: `crates/config/src/check.rs`.
 pub const SERVER_CONNECTIONS: f64 = 430.0;
-/// Datagrams with updates a second: `gossip_fanout` in each `gossip_interval`, `crates/cluster/src/fleet`.
+/// Datagrams with updates per second: `gossip_fanout` in each `gossip_interval`, `crates/cluster/src/fleet`.
 pub const GOSSIP_DATAGRAM_RATE: f64 = 30.0;
 /// Largest age at which a clock echo is accepted, in seconds: `crates/cluster/src/freshness.rs`.
 pub const ECHO_AGE_SECONDS: f64 = 120.0;
--- a/crates/capacity/src/budget/model/settings.rs
+++ b/crates/capacity/src/budget/model/settings.rs
@@ -19,7 +19,7 @@
     costs.settings_bytes * entries(size) / entries(&Size::TARGET)
 }
 
-/// Changes of settings a second, averaged over a day.
+/// Changes of settings per second, averaged over a day.
 pub fn change_rate(size: &Size) -> f64 {
     size.changes as f64 / DAY_SECONDS
 }
--- a/crates/capacity/src/budget/ranking/mod.rs
+++ b/crates/capacity/src/budget/ranking/mod.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Compares with the traffic budget of a node, in bytes a second.
+    /// Compares with the traffic budget of a node, in bytes per second.
     fn traffic(name: &'static str, amount: f64) -> BudgetComparison {
         BudgetComparison::new(name, amount, budget::NODE_TRAFFIC, Unit::BytesPerSecond)
     }
@@ -93,7 +93,7 @@
 /// A mechanism and its amounts that are over budget.
 #[derive(Clone, Debug)]
 pub struct Shortfall {
-    /// What does not fit.
+    /// Description of the mechanism that is over budget.
     pub name: &'static str,
     /// The source files that implement it today, or a note that nothing does.
     pub mechanism: &'static str,
--- a/crates/capacity/src/budget/requirement.rs
+++ b/crates/capacity/src/budget/requirement.rs
@@ -1,5 +1,5 @@
-//! What a role requires of one resource at the three sizes, and whether it fits its budget. The modules of
-//! [`roles`](super::roles) build these.
+//! Requirements of a role for one resource at the three sizes, and their verdicts. The modules of
+//! [`roles`](super::roles) create them.
 
 use super::markdown::{self, NOT_MEASURED};
 use super::model;
@@ -16,7 +16,7 @@
     pub amount: f64,
 }
 
-/// Whether an amount is within its budget.
+/// The result of comparing an amount with its budget.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// The amount is within its budget.
@@ -31,10 +31,10 @@
     NotKnown,
 }
 
-/// What a role requires of one resource, at the three sizes of the page.
+/// The requirement of a role for one resource, at the three sizes of the page.
 #[derive(Clone, Debug)]
 pub struct Requirement {
-    /// What is required.
+    /// Description of the required resource.
     pub name: &'static str,
     /// How the amounts are computed, in words.
     pub derivation: &'static str,
--- a/crates/capacity/src/budget/units.rs
+++ b/crates/capacity/src/budget/units.rs
@@ -9,7 +9,7 @@
     CountPerSecond,
     /// Bytes, with decimal prefixes.
     Bytes,
-    /// Bytes a second, with decimal prefixes.
+    /// Bytes per second, with decimal prefixes.
     BytesPerSecond,
     /// Seconds.
     Seconds,
--- a/crates/capacity/src/scale/counters.rs
+++ b/crates/capacity/src/scale/counters.rs
@@ -20,7 +20,7 @@
     pub list_messages: AtomicU64,
     /// Bytes of the snapshots and updates received.
     pub list_bytes: AtomicU64,
-    /// Most bytes received and sent within a second of the window.
+    /// Most bytes received and sent within one second of the window.
     pub peak_bytes: AtomicU64,
     /// Other members that the node knows.
     pub members: AtomicUsize,
--- a/crates/capacity/src/scale/datagram.rs
+++ b/crates/capacity/src/scale/datagram.rs
@@ -12,7 +12,7 @@
 /// The name of every fleet of a scale run.
 pub const FLEET_NAME: &str = "scale";
 
-/// Why a datagram was sent.
+/// The purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// Probes, their acknowledgements and member updates, all in the membership library's own format.
@@ -67,7 +67,7 @@
 /// A datagram's kind and the split of its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassifiedDatagram {
-    /// Why it was sent.
+    /// Purpose of the datagram.
     pub kind: DatagramKind,
     /// Bytes of everything but replicated entries.
     pub base_bytes: usize,
--- a/crates/capacity/src/scale/discovery_stub.rs
+++ b/crates/capacity/src/scale/discovery_stub.rs
@@ -37,16 +37,16 @@
     /// Whether it is a snapshot.
     #[serde(rename = "snapshot")]
     pub is_snapshot: bool,
-    /// Its servers.
+    /// Listed servers: all of the list in a snapshot, the changed ones in an update.
     pub endpoints: Vec<ParsedServer>,
 }
 
 /// A server of a list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ParsedServer {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its status.
+    /// Status of the server, such as `active`.
     pub status: String,
     /// When it last started, in milliseconds.
     #[serde(rename = "since_ms")]
--- a/crates/capacity/src/scale/fleet_state.rs
+++ b/crates/capacity/src/scale/fleet_state.rs
@@ -38,9 +38,9 @@
 pub struct NodeSlot {
     /// The address of its socket.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: usize,
-    /// Its counters.
+    /// Traffic counters of the node.
     pub counters: Counters,
     state: AtomicU8,
     /// Durations of the bans that an operator requested at this node, in seconds.
