--- a/crates/capacity/src/scale/datagram.rs
+++ b/crates/capacity/src/scale/datagram.rs
@@ -12,7 +12,7 @@
 /// The name of every fleet of a scale run.
 pub const FLEET_NAME: &str = "scale";
 
-/// Why a datagram was sent.
+/// The purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// Probes, their acknowledgements and member updates, all in the membership library's own format.
@@ -28,7 +28,7 @@
 }
 
 impl DatagramKind {
-    /// How many kinds there are.
+    /// Number of kinds.
     pub const COUNT: usize = 5;
     /// All kinds, in the order of reports.
     pub const ALL: [DatagramKind; DatagramKind::COUNT] = [
@@ -39,7 +39,7 @@
         DatagramKind::Application,
     ];
 
-    /// Its name in reports.
+    /// Returns the name in reports.
     pub fn label(self) -> &'static str {
         match self {
             DatagramKind::Membership => "membership",
@@ -67,7 +67,7 @@
 /// A datagram's kind and the split of its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassifiedDatagram {
-    /// Why it was sent.
+    /// Purpose of the datagram.
     pub kind: DatagramKind,
     /// Bytes of everything but replicated entries.
     pub base_bytes: usize,
@@ -75,10 +75,10 @@
     pub entry_bytes: usize,
 }
 
-/// The key of every fleet of a scale run.
+/// Derives the key of every fleet of a scale run.
 ///
 /// # Errors
-/// If [`KEY_FILE`] is too short, which it is not.
+/// If [`KEY_FILE`] is too short; the constant is long enough.
 pub fn fleet_secret() -> Result<Secret, KeyTooShort> {
     Secret::new(KEY_FILE, FLEET_NAME)
 }
--- a/crates/capacity/tests/scale/computation.rs
+++ b/crates/capacity/tests/scale/computation.rs
@@ -23,12 +23,12 @@
     let error = computation::read_settings("")
         .expect_err("an error")
         .to_string();
-    assert!(error.contains("no generator"), "{error}");
+    assert!(error.contains("settings input is empty"), "{error}");
     let error = computation::read_settings("[process]\nnodes = 0\n")
         .expect_err("an error")
         .to_string();
     assert!(
-        error.contains("refused") && error.contains("mistakes"),
+        error.contains("was rejected") && error.contains("errors: "),
         "{error}"
     );
 }
@@ -54,8 +54,8 @@
     assert!(late
         .expect_err("no time")
         .to_string()
-        .contains("not done in"));
-    let missing_program = Path::new("/nowhere/at/all");
+        .contains("did not finish within"));
+    let missing_program = Path::new("/nonexistent/program");
     assert!(
         computation_process::measure(missing_program, Computation::ServerList, &SIZE, TIMEOUT)
             .await
@@ -88,7 +88,7 @@
         many.read_bytes
     );
     assert!(many.per_node.cpu > few.per_node.cpu);
-    // The tables of 40,000 tenants and 4,000 routes are megabytes.
+    // The tables of 40,000 tenants and 4,000 routes take several megabytes.
     let (few_memory, many_memory) = (
         few.per_node.memory.expect("memory"),
         many.per_node.memory.expect("memory"),
