--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -24,10 +24,10 @@
     #[error("there are no classes")]
     NoClasses,
     /// The latency objective or the deadline of the class with this index is not a positive number.
-    #[error("class {0} must have a positive latency objective and a positive deadline")]
+    #[error("class {0} has no usable aim and deadline")]
     InvalidClass(usize),
     /// The current time is not finite, or the maximum number of attempts or the number of nodes is 0.
-    #[error("the time must be finite, and the numbers of attempts and of nodes must be positive")]
+    #[error("clock, attempts and replicas must be positive numbers")]
     NotPositive,
 }
 
